--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -189,7 +189,7 @@
   #spreadNews({ name }: SimVm, load: GateLoad): void {
     this.#clock.after(NEWS_MS, () => {
       for (const { policy } of this.#sidecars.values()) {
-        policy.noteNews(TargetId(name), load);
+        policy.noteLoad(TargetId(name), load);
       }
     });
   }
--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -4,12 +4,12 @@
 import type { ForwardResult } from "../src/sidecar/forwarding/ForwardResult.ts";
 import type { TargetRequest } from "../src/sidecar/forwarding/TargetRequest.ts";
 import type { RunState } from "../src/sidecar/gate/RunTable.ts";
-import type { Ask } from "../src/sidecar/hop/Ask.ts";
-import type { AskReply } from "../src/sidecar/hop/AskReply.ts";
+import type { SlotRequest } from "../src/sidecar/hop/SlotRequest.ts";
+import type { SlotReply } from "../src/sidecar/hop/SlotReply.ts";
 import type { GateLoad } from "../src/sidecar/hop/GateLoad.ts";
-import type { GrantOf, HopLink } from "../src/sidecar/hop/HopLink.ts";
+import type { GrantRef, HopLink } from "../src/sidecar/hop/HopLink.ts";
 import type { HopRequest } from "../src/sidecar/hop/HopRequest.ts";
-import type { Pending } from "../src/sidecar/hop/Pending.ts";
+import type { PendingCall } from "../src/sidecar/hop/PendingCall.ts";
 import type { RetryCost } from "../src/sidecar/routing/RetryCost.ts";
 import type { SimSidecar } from "./SimSidecar.ts";
 
@@ -40,16 +40,20 @@
     this.#deps = deps;
   }
 
-  ask(address: string, ask: Ask, onQueued: (load: GateLoad) => void): Pending<AskReply> {
+  requestSlot(
+    address: string,
+    request: SlotRequest,
+    onQueued: (load: GateLoad) => void,
+  ): PendingCall<SlotReply> {
     this.asks += 1;
     let givenUp = false;
     let withdraw: () => void = () => undefined;
-    const answer = new Promise<AskReply>((resolve) => {
+    const answer = new Promise<SlotReply>((resolve) => {
       this.#reach(address, ({ gate }, reply) => {
         if (givenUp) {
           return;
         }
-        const ticket = gate.ask(ask, (said) => {
+        const ticket = gate.requestSlot(request, (said) => {
           reply(() => {
             resolve(said);
           });
@@ -91,7 +95,7 @@
     });
   }
 
-  run(address: string, req: HopRequest, onAlive: () => void): Pending<ForwardResult> {
+  run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult> {
     const answer = new Promise<ForwardResult>((resolve, reject) => {
       const onDown = () => {
         reject(new Error("ECONNREFUSED"));
@@ -108,7 +112,7 @@
     return { answer, giveUp: () => undefined };
   }
 
-  join(address: string, grant: GrantOf, onAlive: () => void): Pending<ForwardResult> {
+  join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
     const answer = new Promise<ForwardResult>((resolve) => {
       this.#reach(address, ({ runner }, reply) => {
         this.#answer(endOf(runner.state(grant), grant), reply, onAlive, resolve);
@@ -187,7 +191,7 @@
   }
 }
 
-function endOf(state: RunState, { target }: GrantOf): Promise<ForwardResult> {
+function endOf(state: RunState, { target }: GrantRef): Promise<ForwardResult> {
   if (state.kind === "running" || state.kind === "ended") {
     return Promise.resolve(state.result);
   }
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -6,20 +6,20 @@
 import { Service } from "../src/common/document/Service.ts";
 import type { ProtoTypes } from "../src/common/rpc/ProtoTypes.ts";
 import { TargetTable } from "../src/membership/TargetTable.ts";
-import { TargetJudge } from "../src/sidecar/detection/TargetJudge.ts";
+import { GrayFailureDetector } from "../src/sidecar/detection/GrayFailureDetector.ts";
 import { drainSidecar } from "../src/sidecar/drainSidecar.ts";
 import type { ForwardResult } from "../src/sidecar/forwarding/ForwardResult.ts";
 import type { TargetRequest } from "../src/sidecar/forwarding/TargetRequest.ts";
-import { RunsHere } from "../src/sidecar/gate/RunsHere.ts";
+import { ActiveRuns } from "../src/sidecar/gate/ActiveRuns.ts";
 import { RunTable } from "../src/sidecar/gate/RunTable.ts";
 import { Gate } from "../src/sidecar/gate/Gate.ts";
 import { GrantIds } from "../src/sidecar/gate/GrantIds.ts";
 import { TargetRunner } from "../src/sidecar/gate/TargetRunner.ts";
 import type { GateLoad } from "../src/sidecar/hop/GateLoad.ts";
-import type { CourseRequest } from "../src/sidecar/routing/CourseRequest.ts";
+import type { CallerRequest } from "../src/sidecar/routing/CallerRequest.ts";
 import { AdaptivePolicy } from "../src/sidecar/routing/AdaptivePolicy.ts";
-import { BudgetLoans } from "../src/sidecar/routing/BudgetLoans.ts";
-import { CallTraffic } from "../src/sidecar/routing/CallTraffic.ts";
+import { RetryTokenBorrower } from "../src/sidecar/routing/RetryTokenBorrower.ts";
+import { TrafficClassifier } from "../src/sidecar/routing/TrafficClassifier.ts";
 import { Dispatcher } from "../src/sidecar/routing/Dispatcher.ts";
 import type { RetryBudgetRule } from "../src/sidecar/routing/RetryBudget.ts";
 import { RetryBudgets } from "../src/sidecar/routing/RetryBudgets.ts";
@@ -83,7 +83,7 @@
     const zone = ZoneName(zoneOf(vm));
     this.#grants = new GrantIds(String(deps.life));
     this.#table = this.#openTable();
-    const runs = new RunsHere(clock);
+    const runs = new ActiveRuns(clock);
     this.budgets = this.#openBudgets();
     this.gate = this.#openGate(runs);
     this.runner = this.#openRunner(runs);
@@ -133,7 +133,7 @@
   }
 
   /** Serves a request of a caller, or a call of the target beside it. */
-  async dispatch(route: RouteMatch, req: CourseRequest): Promise<ForwardResult> {
+  async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     this.#inFlight += 1;
     try {
       return await this.#dispatcher.dispatch(route, req);
@@ -180,12 +180,12 @@
     return new TargetTable(own, () => clock.now());
   }
 
-  #openGate(runs: RunsHere): Gate {
+  #openGate(runs: ActiveRuns): Gate {
     const { vm, clock, onJudged, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
       target: () => ({ slots: vm.slots, takesWork: true }),
-      judge: new TargetJudge({ rule: () => rule, clock, log }),
+      detector: new GrayFailureDetector({ rule: () => rule, clock, log }),
       waitsForCall: (since) => runs.hasOpenCall(since),
       clock,
       grants: this.#grants,
@@ -194,7 +194,7 @@
     });
   }
 
-  #openRunner(here: RunsHere): TargetRunner {
+  #openRunner(here: ActiveRuns): TargetRunner {
     const { vm, clock, work } = this.#deps;
     const id = TargetId(vm.name);
     return new TargetRunner({
@@ -208,15 +208,15 @@
     });
   }
 
-  #openDispatcher(runs: RunsHere): Dispatcher {
+  #openDispatcher(runs: ActiveRuns): Dispatcher {
     const { vm, clock } = this.#deps;
     return new Dispatcher({
       policy: this.policy,
       hop: this.hop,
       callerService: vm.service,
       budgets: this.budgets,
-      loans: this.#openLoans(),
-      calls: new CallTraffic({ runs, log }),
+      borrower: this.#openLoans(),
+      calls: new TrafficClassifier({ runs, log }),
       clock,
       log,
     });
@@ -234,13 +234,13 @@
     });
   }
 
-  #openLoans(): BudgetLoans {
+  #openLoans(): RetryTokenBorrower {
     const { vm, sidecars, random } = this.#deps;
     const lenders = () =>
       [...sidecars.values()]
         .filter((s) => s.vm.zone === vm.zone && s !== this)
         .map((s) => s.vm.name);
-    return new BudgetLoans({ lenders, ask: (...args) => this.hop.borrow(...args), random });
+    return new RetryTokenBorrower({ lenders, ask: (...args) => this.hop.borrow(...args), random });
   }
 }
 
--- a/experiment/variants.ts
+++ b/experiment/variants.ts
@@ -1,12 +1,12 @@
-import type { WaitingAsk } from "../src/sidecar/gate/WaitingAsk.ts";
+import type { QueuedRequest } from "../src/sidecar/gate/QueuedRequest.ts";
 import type { Variant } from "./Variant.ts";
 
-const dueAt = ({ ask, askedAt }: WaitingAsk) => askedAt + ask.objectiveMs;
+const dueAt = ({ request, askedAt }: QueuedRequest) => askedAt + request.objectiveMs;
 
 /** Strict priority, then by due date while that can be met. */
-function byPriority(a: WaitingAsk, b: WaitingAsk, now: number, serviceMs: number): boolean {
-  if (a.ask.priority !== b.ask.priority) {
-    return a.ask.priority < b.ask.priority;
+function byPriority(a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number): boolean {
+  if (a.request.priority !== b.request.priority) {
+    return a.request.priority < b.request.priority;
   }
   const [lateA, lateB] = [a, b].map((w) => now + serviceMs > dueAt(w));
   if (lateA !== lateB) {
@@ -16,7 +16,7 @@
 }
 
 /** In the order in which they came, as a target's own queue would have it. */
-const byAge = (a: WaitingAsk, b: WaitingAsk) => a.askedAt < b.askedAt;
+const byAge = (a: QueuedRequest, b: QueuedRequest) => a.askedAt < b.askedAt;
 
 /** What is compared. */
 export const variants: readonly Variant[] = [
--- a/src/cli/account/AccountedRequest.ts
+++ b/src/cli/account/AccountedRequest.ts
@@ -1,5 +1,5 @@
 /** What became of a request, and at which point its credit was lost. */
-export type Fate =
+export type RequestOutcome =
   | "in time"
   /** Answered after its objective, most of the time in line for a slot. */
   | "late: in line"
@@ -38,7 +38,7 @@
   readonly target: string;
   /** Seconds after the first line of the logs, by times of day. */
   readonly atS: number;
-  readonly fate: Fate;
+  readonly fate: RequestOutcome;
   /** Part of its credit that was lost: 0 to 1. */
   readonly lost: number;
 }
--- a/src/cli/account/accountRequests.test.ts
+++ b/src/cli/account/accountRequests.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { parseLog } from "../logs/parseLog.ts";
-import type { Fate } from "./AccountedRequest.ts";
+import type { RequestOutcome } from "./AccountedRequest.ts";
 import { accountRequests } from "./accountRequests.ts";
 
 const line = (msg: string, fields: object, atS = 0) =>
@@ -25,7 +25,12 @@
 const ERR = { kind: "done", status: 503 };
 const refused = (reason: string) => ({ kind: "not-run", reason });
 
-const cases: readonly { name: string; log: readonly string[]; fate: Fate; lost: number }[] = [
+const cases: readonly {
+  name: string;
+  log: readonly string[];
+  fate: RequestOutcome;
+  lost: number;
+}[] = [
   {
     name: "an answer within its objective",
     log: [granted("r"), ran("r", "ok"), answered("r", OK)],
--- a/src/cli/account/accountRequests.ts
+++ b/src/cli/account/accountRequests.ts
@@ -1,11 +1,11 @@
 import type { LogLine } from "../logs/LogLine.ts";
-import type { AccountedRequest, Fate } from "./AccountedRequest.ts";
+import type { AccountedRequest, RequestOutcome } from "./AccountedRequest.ts";
 
 /** Part of a request's credit that is lost when it is answered late; by the prices of the sites served so far. */
 const LATE_LOSS = 0.7;
 
 /** Reasons of refusals, by what they begin with or hold, as the processes write them. */
-const REFUSALS: readonly (readonly [part: string, fate: Fate])[] = [
+const REFUSALS: readonly (readonly [part: string, fate: RequestOutcome])[] = [
   ["the last one as full", "refused: no room"],
   ["the last one as suspect", "refused: suspects only"],
   ["the target did not run it", "refused: by the targets"],
@@ -92,7 +92,7 @@
   return places;
 }
 
-function fateOf(trail: Trail, placeInRow: number): Fate {
+function fateOf(trail: Trail, placeInRow: number): RequestOutcome {
   const { answered, grants } = trail;
   const verdict = verdictOf(answered);
   switch (verdict.kind) {
@@ -110,7 +110,7 @@
   }
 }
 
-function answerFate({ answered, grants, runs }: Trail): Fate {
+function answerFate({ answered, grants, runs }: Trail): RequestOutcome {
   const ms = Number(answered?.fields.ms);
   const objectiveMs = Number(answered?.fields.objectiveMs ?? Infinity);
   if (ms <= objectiveMs) {
@@ -123,7 +123,7 @@
   return Number(runs.at(-1)?.fields.ms) > ms / 2 ? "late: at the target" : "late: otherwise";
 }
 
-function failureFate(grant: LogLine | undefined, placeInRow: number): Fate {
+function failureFate(grant: LogLine | undefined, placeInRow: number): RequestOutcome {
   const load = grant?.fields.load as { suspect?: boolean } | undefined;
   if (load?.suspect) {
     return "failed: known suspect";
@@ -134,11 +134,11 @@
   return placeInRow === 2 ? "failed: second in a row" : "failed: later in a row";
 }
 
-function refusalFate(reason: string): Fate {
+function refusalFate(reason: string): RequestOutcome {
   return REFUSALS.find(([part]) => reason.includes(part))?.[1] ?? "refused: otherwise";
 }
 
-function lossOf(fate: Fate): number {
+function lossOf(fate: RequestOutcome): number {
   if (fate === "in time" || fate === "caller left") {
     return 0;
   }
--- a/src/cli/account/plotAccount.test.ts
+++ b/src/cli/account/plotAccount.test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
-import type { AccountedRequest, Fate } from "./AccountedRequest.ts";
+import type { AccountedRequest, RequestOutcome } from "./AccountedRequest.ts";
 import { plotAccount } from "./plotAccount.ts";
 
-const req = (fate: Fate, lost: number, atS: number): AccountedRequest => ({
+const req = (fate: RequestOutcome, lost: number, atS: number): AccountedRequest => ({
   attempt: "r",
   route: "lookup",
   origin: "t1",
--- a/src/cli/account/renderAccount.test.ts
+++ b/src/cli/account/renderAccount.test.ts
@@ -1,8 +1,8 @@
 import test from "ava";
-import type { AccountedRequest, Fate } from "./AccountedRequest.ts";
+import type { AccountedRequest, RequestOutcome } from "./AccountedRequest.ts";
 import { renderAccount } from "./renderAccount.ts";
 
-const req = (fate: Fate, lost: number, atS = 0, route = "lookup"): AccountedRequest => ({
+const req = (fate: RequestOutcome, lost: number, atS = 0, route = "lookup"): AccountedRequest => ({
   attempt: "r",
   route,
   origin: "t1",
--- a/src/cli/explain/Story.ts
+++ b/src/cli/explain/RequestTimeline.ts
@@ -1,7 +1,7 @@
 import type { LogLine } from "../logs/LogLine.ts";
 
 /** What the logs tell of one request. */
-export interface Story {
+export interface RequestTimeline {
   readonly attempt: string;
   /** In one sentence: what the caller was told, and why. */
   readonly cause: string;
--- a/src/cli/explain/explainRequest.test.ts
+++ b/src/cli/explain/explainRequest.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { explainRequest } from "./explainRequest.ts";
 import { parseLog } from "../logs/parseLog.ts";
-import { renderStory } from "./renderStory.ts";
+import { renderTimeline } from "./renderTimeline.ts";
 
 /** A line as a process writes it. */
 const line = (id: string, msg: string, fields: object = {}) =>
@@ -72,9 +72,9 @@
 
 for (const { name, log, cause, missing } of cases) {
   test(`explain: ${name}`, (t) => {
-    const story = explainRequest("r1", parseLog(log.join("\n")));
-    t.is(story.cause, cause);
-    t.deepEqual([...story.missing], [...missing]);
+    const timeline = explainRequest("r1", parseLog(log.join("\n")));
+    t.is(timeline.cause, cause);
+    t.deepEqual([...timeline.missing], [...missing]);
   });
 }
 
@@ -100,7 +100,7 @@
     "plain text",
     '{"other":1}',
   ];
-  const story = explainRequest("r1", parseLog(log.join("\n")));
-  t.is(story.steps.length, 1);
-  t.true(renderStory(story).startsWith("request r1: answered by a with 200\n"));
+  const timeline = explainRequest("r1", parseLog(log.join("\n")));
+  t.is(timeline.steps.length, 1);
+  t.true(renderTimeline(timeline).startsWith("request r1: answered by a with 200\n"));
 });
--- a/src/cli/explain/explainRequest.ts
+++ b/src/cli/explain/explainRequest.ts
@@ -1,5 +1,5 @@
 import type { LogLine } from "../logs/LogLine.ts";
-import type { Story } from "./Story.ts";
+import type { RequestTimeline } from "./RequestTimeline.ts";
 
 /** Messages that tell of a change in what a process believes. */
 const BELIEFS = new Set([
@@ -21,7 +21,7 @@
 const BELIEFS_SHOWN = 6;
 
 /** Tells what became of the request `attempt`, and why, from the processes' logs alone. */
-export function explainRequest(attempt: string, lines: readonly LogLine[]): Story {
+export function explainRequest(attempt: string, lines: readonly LogLine[]): RequestTimeline {
   const about = lines.filter((l) => l.fields.attempt === attempt);
   const answered = about.find((l) => l.msg === "request answered");
   const origin = answered?.process ?? about.find((l) => l.msg === "slot granted")?.process;
--- a/src/cli/explain/renderStory.ts
+++ b/src/cli/explain/renderTimeline.ts
@@ -1,11 +1,17 @@
 import type { LogLine } from "../logs/LogLine.ts";
-import type { Story } from "./Story.ts";
+import type { RequestTimeline } from "./RequestTimeline.ts";
 
 /** Fields that every line has, or that the line's heading says already. */
 const HEADING = new Set(["name", "role", "hostname", "pid", "level", "v", "attempt"]);
 
 /** A story as text for a terminal. */
-export function renderStory({ attempt, cause, steps, beliefs, missing }: Story): string {
+export function renderTimeline({
+  attempt,
+  cause,
+  steps,
+  beliefs,
+  missing,
+}: RequestTimeline): string {
   const parts = [`request ${attempt}: ${cause}`];
   if (steps.length > 0) {
     parts.push("", "what was decided:", ...steps.map(renderLine));
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -9,7 +9,7 @@
 import { applyAtLeader } from "./applyAtLeader.ts";
 import { explainRequest } from "./explain/explainRequest.ts";
 import { parseLog } from "./logs/parseLog.ts";
-import { renderStory } from "./explain/renderStory.ts";
+import { renderTimeline } from "./explain/renderTimeline.ts";
 
 function fail(message: string): never {
   process.stderr.write(message + "\n");
@@ -139,9 +139,9 @@
     // The parser hands over every word that is no option, those above among them.
     const [attempt = "", ...files] = args._;
     const lines = files.flatMap((file) => parseLog(readText(file)));
-    const story = explainRequest(attempt, lines);
-    process.stdout.write(args.json ? `${JSON.stringify(story)}\n` : renderStory(story));
-    if (story.steps.length === 0) {
+    const timeline = explainRequest(attempt, lines);
+    process.stdout.write(args.json ? `${JSON.stringify(timeline)}\n` : renderTimeline(timeline));
+    if (timeline.steps.length === 0) {
       process.exitCode = 1;
     }
   },
--- a/src/control/ControlMetrics.ts
+++ b/src/control/ControlMetrics.ts
@@ -1,6 +1,6 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { Replica } from "./replica/Replica.ts";
-import type { Watchers } from "./service/Watchers.ts";
+import type { DocumentWatchers } from "./service/DocumentWatchers.ts";
 
 /** Buckets for synced writes, seconds: a healthy one takes 2 ms, one on a sick disk hundreds. */
 const WRITE_BUCKETS = [0.001, 0.0025, 0.005, 0.01, 0.025, 0.1, 0.4, 1, 5];
@@ -24,7 +24,7 @@
   }
 
   /** Shows the state of `replica` and of those that follow the document there. */
-  watch(replica: Watched, watchers: Pick<Watchers, "count">): void {
+  watch(replica: Watched, watchers: Pick<DocumentWatchers, "count">): void {
     this.#gauge(
       "burdockpass_config_version",
       "Version of the document committed here.",
--- a/src/control/ControlRole.ts
+++ b/src/control/ControlRole.ts
@@ -28,7 +28,7 @@
 import type { ReplicaTiming } from "./replica/ReplicaTiming.ts";
 import { controlHandlers } from "./service/controlHandlers.ts";
 import { ControlService } from "./service/ControlService.ts";
-import { Watchers } from "./service/Watchers.ts";
+import { DocumentWatchers } from "./service/DocumentWatchers.ts";
 
 /**
  * Between zones 1.5 ms apart; a sync takes 2 ms, of a slow disk up to 70. A lost leader
@@ -78,7 +78,7 @@
     const replica = this.#openReplica();
     const service = new ControlService(replica, SystemClock, this.#log);
     this.#service = service;
-    const watchers = new Watchers(replica);
+    const watchers = new DocumentWatchers(replica);
     const proto = loadProto();
     const peerService = (proto.Peer as grpc.ServiceClientConstructor).service;
     const link = new DatagramLink(SystemClock, () => undefined);
@@ -181,7 +181,7 @@
     );
   }
 
-  #adminServer(replica: Replica, watchers: Watchers) {
+  #adminServer(replica: Replica, watchers: DocumentWatchers) {
     const { registry } = this.#metrics;
     this.#metrics.watch(replica, watchers);
     return createServer((req, res) => {
--- a/src/control/service/Order.ts
+++ b/src/control/service/ChangeRequest.ts
@@ -15,7 +15,7 @@
 }
 
 /** An operator's order to change the document; its content is checked only when it is weighed. */
-export type Order = OrderHead &
+export type ChangeRequest = OrderHead &
   (
     | { readonly kind: "replace"; readonly document: unknown }
     | {
--- a/src/control/service/ControlService.test.ts
+++ b/src/control/service/ControlService.test.ts
@@ -10,7 +10,7 @@
 import { Replica } from "../replica/Replica.ts";
 import { ReplicatedLog } from "../log/ReplicatedLog.ts";
 import { ControlService } from "./ControlService.ts";
-import type { Order } from "./Order.ts";
+import type { ChangeRequest } from "./ChangeRequest.ts";
 
 const doc = readFileSync(new URL("../../../config/demo.yaml", import.meta.url), "utf8");
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
@@ -21,7 +21,7 @@
   expected_version: number;
   request_id: string;
   version?: number;
-}): Order => ({
+}): ChangeRequest => ({
   kind: "replace",
   document: parse(raw.document) as unknown,
   base: raw.expected_version,
@@ -189,7 +189,7 @@
   });
 }
 
-const edit = (over: Partial<Extract<Order, { kind: "edit" }>>): Order => ({
+const edit = (over: Partial<Extract<ChangeRequest, { kind: "edit" }>>): ChangeRequest => ({
   kind: "edit",
   orderId: "edit",
   base: 1,
@@ -200,7 +200,12 @@
 });
 const route = { name: "r", prefix: "/x/", idempotent: true, timeoutMs: 100, attempts: 1 };
 
-const edits: readonly { name: string; order: Order; kind: Kind; routes?: readonly string[] }[] = [
+const edits: readonly {
+  name: string;
+  order: ChangeRequest;
+  kind: Kind;
+  routes?: readonly string[];
+}[] = [
   {
     name: "a route is added",
     order: edit({ routes: { set: [{ ...route, service: "oljelab-results" }], drop: [] } }),
--- a/src/control/service/ControlService.ts
+++ b/src/control/service/ControlService.ts
@@ -3,8 +3,8 @@
 import type { ConfigState } from "../log/ConfigState.ts";
 import type { Replica } from "../replica/Replica.ts";
 import type { ApplyOutcome } from "./ApplyOutcome.ts";
-import type { Order } from "./Order.ts";
-import { weighOrder } from "./weighOrder.ts";
+import type { ChangeRequest } from "./ChangeRequest.ts";
+import { evaluateChange } from "./evaluateChange.ts";
 
 /** Refusals remembered here, so that a resend of one is refused again. */
 const REMEMBERED_REFUSALS = 4096;
@@ -36,7 +36,7 @@
   }
 
   /** Decides one order; resolves once its answer is certain, or cannot be for now. */
-  async apply(order: Order): Promise<ApplyOutcome> {
+  async apply(order: ChangeRequest): Promise<ApplyOutcome> {
     const outcome = this.#refusals.get(order.orderId) ?? (await this.#decide(order));
     this.#remember(order.orderId, outcome);
     const { orderId, version, base } = order;
@@ -58,14 +58,14 @@
     return leader && leader.id !== this.#replica.id ? leader.api : undefined;
   }
 
-  async #decide(order: Order): Promise<ApplyOutcome> {
+  async #decide(order: ChangeRequest): Promise<ApplyOutcome> {
     const { version } = this.#replica.state;
     if (version === 0 && !this.#mayAcknowledge) {
       const message = "the control group is not complete yet";
       return { kind: "not-leader", version, message, leaderApi: this.leaderApi };
     }
     const proposed = await this.#replica.propose<ApplyOutcome>((current) =>
-      weighOrder(current, order),
+      evaluateChange(current, order),
     );
     switch (proposed.kind) {
       case "committed":
--- a/src/control/service/Watchers.ts
+++ b/src/control/service/DocumentWatchers.ts
@@ -26,7 +26,7 @@
  * with every committed change. A replica out of touch with a quorum ends them, so
  * that they move on to one that is not: what it holds may be hours old.
  */
-export class Watchers implements IDisposable {
+export class DocumentWatchers implements IDisposable {
   readonly #replica: Pick<Replica, "inTouch" | "onChange" | "state">;
   readonly #watchers = new Set<Watcher>();
   readonly #stopListening: () => void;
--- a/src/control/service/controlHandlers.ts
+++ b/src/control/service/controlHandlers.ts
@@ -5,14 +5,14 @@
 import { splitVersion } from "../../common/rpc/splitVersion.ts";
 import type { ApplyOutcome } from "./ApplyOutcome.ts";
 import type { ControlService } from "./ControlService.ts";
-import type { Watchers } from "./Watchers.ts";
+import type { DocumentWatchers } from "./DocumentWatchers.ts";
 
 type WatchCall = grpc.ServerWritableStream<ProtoTypes["WatchRequest"], ProtoTypes["ConfigVersion"]>;
 
 /** The gRPC handlers of the Control service: for the CLI, and for sidecars that follow the document. */
 export function controlHandlers(
   service: ControlService,
-  watchers: Watchers,
+  watchers: DocumentWatchers,
 ): grpc.UntypedServiceImplementation {
   const apply: grpc.handleUnaryCall<ProtoTypes["ApplyRequest"], ProtoTypes["ApplyReply"]> = (
     call,
--- a/src/control/service/weighOrder.ts
+++ b/src/control/service/evaluateChange.ts
@@ -4,7 +4,7 @@
 import type { AcceptedChange } from "../log/AcceptedChange.ts";
 import type { ConfigState } from "../log/ConfigState.ts";
 import type { ApplyOutcome } from "./ApplyOutcome.ts";
-import type { Order } from "./Order.ts";
+import type { ChangeRequest } from "./ChangeRequest.ts";
 
 /** Problems named in one answer, at most: a document of 40,000 routes may have as many. */
 const MAX_PROBLEMS = 20;
@@ -14,9 +14,9 @@
  * answer to it when there is none to make. One that was accepted before is
  * acknowledged again, however long ago and whatever came since.
  */
-export function weighOrder(
+export function evaluateChange(
   current: ConfigState,
-  order: Order,
+  order: ChangeRequest,
 ): { propose: AcceptedChange } | { answer: ApplyOutcome } {
   const { version } = current;
   const earlier = current.versionOf(order.orderId);
@@ -40,7 +40,7 @@
 }
 
 /** The whole document as the order wants it, not checked yet. */
-function ordered(current: OperatorDocument, order: Order): unknown {
+function ordered(current: OperatorDocument, order: ChangeRequest): unknown {
   if (order.kind === "replace") {
     return order.document;
   }
--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -28,22 +28,22 @@
 import type { Dialect } from "./dialect/Dialect.ts";
 import { ownDialect } from "./dialect/ownDialect.ts";
 import { drainSidecar, type DrainedParts } from "./drainSidecar.ts";
-import { AskClient } from "./hop/AskClient.ts";
+import { SlotClient } from "./hop/SlotClient.ts";
 import { GateMessages } from "./hop/GateMessages.ts";
-import { LoanClient } from "./hop/LoanClient.ts";
+import { RetryTokenClient } from "./hop/RetryTokenClient.ts";
 import { HopClient } from "./hop/HopClient.ts";
 import type { HopLink } from "./hop/HopLink.ts";
 import { CallerServer } from "./ingress/CallerServer.ts";
 import { originOf } from "./ingress/originOf.ts";
 import { AdaptivePolicy } from "./routing/AdaptivePolicy.ts";
-import { BudgetLoans } from "./routing/BudgetLoans.ts";
-import { CallTraffic } from "./routing/CallTraffic.ts";
+import { RetryTokenBorrower } from "./routing/RetryTokenBorrower.ts";
+import { TrafficClassifier } from "./routing/TrafficClassifier.ts";
 import { Dispatcher } from "./routing/Dispatcher.ts";
-import { lendersOf } from "./routing/lendersOf.ts";
+import { chooseLenders } from "./routing/chooseLenders.ts";
 import { NaivePolicy } from "./routing/NaivePolicy.ts";
 import { RetryBudgets } from "./routing/RetryBudgets.ts";
 import type { RoutingPolicy } from "./routing/RoutingPolicy.ts";
-import { SplitDraw } from "./routing/SplitDraw.ts";
+import { SplitSampler } from "./routing/SplitSampler.ts";
 import type { TargetAnnouncements } from "./TargetAnnouncements.ts";
 import { TargetSide } from "./TargetSide.ts";
 
@@ -84,10 +84,10 @@
 /** What the dispatcher is made of. */
 interface DispatcherParts {
   readonly budgets: RetryBudgets;
-  readonly loans: BudgetLoans;
+  readonly borrower: RetryTokenBorrower;
   readonly policy: RoutingPolicy;
   readonly hop: HopLink;
-  readonly calls: CallTraffic;
+  readonly calls: TrafficClassifier;
   readonly metrics: SidecarMetrics;
 }
 
@@ -185,16 +185,23 @@
       }),
     );
     const policy = this.register(this.#openPolicy(table));
-    const asks = new AskClient({ tell, clock: SystemClock });
+    const slotClient = new SlotClient({ tell, clock: SystemClock });
     const budgets = this.#openBudgets(table, metrics);
-    const loanClient = new LoanClient({ tell, clock: SystemClock });
-    const loans = new BudgetLoans({
-      lenders: () => lendersOf(table),
-      ask: (...args) => loanClient.ask(...args),
+    const retryTokenClient = new RetryTokenClient({ tell, clock: SystemClock });
+    const borrower = new RetryTokenBorrower({
+      lenders: () => chooseLenders(table),
+      ask: (...args) => retryTokenClient.ask(...args),
       random: Math.random,
     });
-    const { askServer: gates } = targets;
-    const messages = new GateMessages({ asks, gates, policy, loans: loanClient, budgets, tell });
+    const { slotServer: gates } = targets;
+    const messages = new GateMessages({
+      slotClient,
+      gates,
+      policy,
+      tokenClient: retryTokenClient,
+      budgets,
+      tell,
+    });
     metrics.watchConfig(
       () => follower,
       () => SystemClock.now(),
@@ -219,10 +226,10 @@
     membership.start(cfg.gossipIntervalMs);
     follower.start();
 
-    const hop = this.register(new HopClient(asks));
-    const calls = new CallTraffic({ runs: targets.runs, log: this.#log });
-    const dispatcher = this.#dispatcher({ policy, hop, calls, metrics, budgets, loans });
-    const splits = new SplitDraw(Math.random);
+    const hop = this.register(new HopClient(slotClient));
+    const calls = new TrafficClassifier({ runs: targets.runs, log: this.#log });
+    const dispatcher = this.#dispatcher({ policy, hop, calls, metrics, budgets, borrower });
+    const splits = new SplitSampler(Math.random);
     caller.server = new CallerServer({
       config: () => configOf(follower),
       waitForConfig: () => documentWait.wait(),
--- a/src/sidecar/TargetSide.ts
+++ b/src/sidecar/TargetSide.ts
@@ -17,24 +17,24 @@
 import type { TargetState } from "../membership/TargetState.ts";
 import type { TargetTable } from "../membership/TargetTable.ts";
 import type { SidecarMetrics } from "./admin/SidecarMetrics.ts";
-import type { Judge } from "./detection/Judge.ts";
-import { TargetJudge } from "./detection/TargetJudge.ts";
-import { TrustingJudge } from "./detection/TrustingJudge.ts";
+import type { HealthDetector } from "./detection/HealthDetector.ts";
+import { GrayFailureDetector } from "./detection/GrayFailureDetector.ts";
+import { AlwaysHealthyDetector } from "./detection/AlwaysHealthyDetector.ts";
 import type { Dialect } from "./dialect/Dialect.ts";
 import type { ForwardResult } from "./forwarding/ForwardResult.ts";
 import type { TargetRequest } from "./forwarding/TargetRequest.ts";
 import { TargetSender } from "./forwarding/TargetSender.ts";
-import { AskServer } from "./gate/AskServer.ts";
+import { SlotServer } from "./gate/SlotServer.ts";
 import { GateServer } from "./gate/GateServer.ts";
 import { GrantIds } from "./gate/GrantIds.ts";
-import { RunsHere } from "./gate/RunsHere.ts";
+import { ActiveRuns } from "./gate/ActiveRuns.ts";
 import { RunTable } from "./gate/RunTable.ts";
 import { TargetGates } from "./gate/TargetGates.ts";
 import { TargetRunner } from "./gate/TargetRunner.ts";
 import { adoptAt } from "./records/adoptAt.ts";
 import { chooseRecordGroup } from "./records/chooseRecordGroup.ts";
 import { idempotencyKeyOf } from "./records/idempotencyKeyOf.ts";
-import { OnceRunner } from "./records/OnceRunner.ts";
+import { AtMostOnceRunner } from "./records/AtMostOnceRunner.ts";
 import { RecordHandover } from "./records/RecordHandover.ts";
 import { RecordService } from "./records/RecordService.ts";
 import { RemoteRecordPeer } from "./records/RemoteRecordPeer.ts";
@@ -79,25 +79,25 @@
   readonly #records: RunRecords;
   readonly gateServer: GateServer;
   /** The runs under way at the targets here. */
-  readonly runs: RunsHere;
+  readonly runs: ActiveRuns;
   /** Takes what other sidecars, and this one, ask the gates here. */
-  readonly askServer: AskServer;
+  readonly slotServer: SlotServer;
 
   constructor(deps: TargetSideDeps) {
     super();
     this.#deps = deps;
     const { table, clock, log, dialect, cfg, tracing, metrics, tell } = deps;
     const grants = new GrantIds(randomBytes(BOOT_BYTES).toString("hex"));
-    this.runs = new RunsHere(clock);
+    this.runs = new ActiveRuns(clock);
     this.#gates = new TargetGates({
       targets: () => table.localTargets(),
-      judge: (target) => this.#judge(target),
+      detectorOf: (target) => this.#detectorOf(target),
       waitsForCall: (since) => this.runs.hasOpenCall(since),
       clock,
       grants,
       log,
       onJudged: (target, load) => {
-        this.askServer.tellNews(target, load);
+        this.slotServer.publishLoad(target, load);
       },
       onNewLife: (target) => {
         sender.renew(target);
@@ -127,7 +127,7 @@
       log,
     });
     this.gateServer = new GateServer({ runner, tracing, clock, log });
-    this.askServer = new AskServer({ gates: this.#gates, metrics, tell, clock, log });
+    this.slotServer = new SlotServer({ gates: this.#gates, metrics, tell, clock, log });
     this.register(
       every(EXPIRE_MS, () => {
         this.#records.expire();
@@ -205,12 +205,12 @@
     this.#deps.membership.noteLocalChange();
   }
 
-  #judge(target: TargetInfo): Judge {
+  #detectorOf(target: TargetInfo): HealthDetector {
     const { cfg, document, clock, log, metrics } = this.#deps;
     if (cfg.policy === "naive") {
-      return TrustingJudge;
+      return AlwaysHealthyDetector;
     }
-    return new TargetJudge({
+    return new GrayFailureDetector({
       rule: () => {
         const service = document()?.services.find((s) => s.name === target.service);
         return (service ?? DEFAULT_SERVICE).detection;
@@ -230,7 +230,7 @@
     return new RunRecords(journal, () => clock.now());
   }
 
-  #onceRunner(sender: TargetSender): OnceRunner {
+  #onceRunner(sender: TargetSender): AtMostOnceRunner {
     const { cfg, table, clients, clock } = this.#deps;
     const records = this.#records;
     const own = {
@@ -238,7 +238,7 @@
       claim: records.claim.bind(records),
       settle: records.settle.bind(records),
     };
-    return new OnceRunner({
+    return new AtMostOnceRunner({
       group: (key) =>
         chooseRecordGroup(key, table.recordPool()).map((m) =>
           m.id === own.id ? own : new RemoteRecordPeer(m.id, clients.get(m.peerAddress), clock),
@@ -265,7 +265,7 @@
 /** Work that must not repeat and has a key runs at most once under it, whatever sidecar it comes through. */
 function sendUnderKey(
   sender: TargetSender,
-  once: OnceRunner,
+  once: AtMostOnceRunner,
   target: TargetInfo,
   req: TargetRequest,
 ): Promise<ForwardResult> {
--- a/src/sidecar/detection/TrustingJudge.ts
+++ b/src/sidecar/detection/AlwaysHealthyDetector.ts
@@ -1,7 +1,7 @@
-import type { Judge } from "./Judge.ts";
+import type { HealthDetector } from "./HealthDetector.ts";
 
 /** Thinks well of every target: part of the baseline that ours is measured against, never for real traffic. */
-export const TrustingJudge: Judge = {
+export const AlwaysHealthyDetector: HealthDetector = {
   risk: 0,
   pace: 1,
   isSuspect: false,
--- a/src/sidecar/detection/FadingScore.ts
+++ b/src/sidecar/detection/DecayingScore.ts
@@ -5,7 +5,7 @@
  * log-likelihood ratio of "this target is gray" against "it is healthy", never below
  * zero, and halved with time, since without requests there is no news.
  */
-export class FadingScore {
+export class DecayingScore {
   readonly #clock: Clock;
   readonly #halfLifeMs: () => number;
   #nats = 0;
--- a/src/sidecar/detection/TargetJudge.test.ts
+++ b/src/sidecar/detection/GrayFailureDetector.test.ts
@@ -3,7 +3,7 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { makeService } from "../../../test/fixtures/makeService.ts";
 import { AttemptOutcome } from "./AttemptOutcome.ts";
-import { TargetJudge } from "./TargetJudge.ts";
+import { GrayFailureDetector } from "./GrayFailureDetector.ts";
 
 const { Ok, Failed, NoAnswer, TimedOut, Shed } = AttemptOutcome;
 
@@ -14,14 +14,14 @@
 function rig(threshold = 6) {
   const clock = new FakeClock();
   const { detection } = makeService();
-  const judge = new TargetJudge({
+  const detector = new GrayFailureDetector({
     rule: () => ({ ...detection, threshold, ejectMs: EJECT_MS, maxEjectMs: EJECT_MS }),
     clock,
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
-  judge.note(Ok, 0, 0);
-  const state = () => (judge.isEjected ? "ejected" : judge.isSuspect ? "suspect" : "well");
-  return { clock, judge, state };
+  detector.note(Ok, 0, 0);
+  const state = () => (detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well");
+  return { clock, detector, state };
 }
 
 type Step =
@@ -168,9 +168,9 @@
       if ("wait" in step) {
         await r.clock.advance(step.wait);
       } else if ("overdue" in step) {
-        r.judge.noteOverdue(step.overdue);
+        r.detector.noteOverdue(step.overdue);
       } else {
-        r.judge.note(step.outcome, step.ms ?? 0, step.typicalMs ?? 0);
+        r.detector.note(step.outcome, step.ms ?? 0, step.typicalMs ?? 0);
       }
     }
     t.is(r.state(), state);
@@ -181,43 +181,43 @@
 const only = { isExpendable: false, isPressed: false, acceptsRisk: 0 };
 
 test("judge: a suspect takes no request that has no other try, and five that have", async (t) => {
-  const { clock, judge } = rig();
+  const { clock, detector } = rig();
   await clock.advance(500);
-  judge.note(Failed, 2, 0);
-  t.false(judge.admits(only, 0));
-  t.true(judge.admits({ ...only, acceptsRisk: 1 }, 0));
+  detector.note(Failed, 2, 0);
+  t.false(detector.admits(only, 0));
+  t.true(detector.admits({ ...only, acceptsRisk: 1 }, 0));
   t.deepEqual(
-    [0, 4, 5].map((probes) => judge.admits(expendable, probes)),
+    [0, 4, 5].map((probes) => detector.admits(expendable, probes)),
     [true, true, false],
   );
 });
 
 test("judge: an ejected target is tried with one request at a time, at a distance when it fails", async (t) => {
-  const { clock, judge } = rig();
+  const { clock, detector } = rig();
   await clock.advance(500);
-  judge.note(Failed, 2, 0);
-  judge.note(Failed, 2, 0);
-  t.is(judge.probeInMs(0), 1000, "left alone at first");
+  detector.note(Failed, 2, 0);
+  detector.note(Failed, 2, 0);
+  t.is(detector.probeInMs(0), 1000, "left alone at first");
   await clock.advance(1000);
-  t.is(judge.probeInMs(0), 0);
-  t.true(judge.admits(expendable, 0));
-  t.false(judge.admits(expendable, 1));
-  judge.note(Failed, 2, 0);
+  t.is(detector.probeInMs(0), 0);
+  t.true(detector.admits(expendable, 0));
+  t.false(detector.admits(expendable, 1));
+  detector.note(Failed, 2, 0);
   await clock.advance(300);
-  t.false(judge.admits(expendable, 0));
-  t.true(judge.admits({ ...expendable, isPressed: true }, 0), "sooner where there is no room");
-  judge.note(Failed, 2, 0);
-  t.is(judge.probeInMs(0), 1000);
+  t.false(detector.admits(expendable, 0));
+  t.true(detector.admits({ ...expendable, isPressed: true }, 0), "sooner where there is no room");
+  detector.note(Failed, 2, 0);
+  t.is(detector.probeInMs(0), 1000);
   await clock.advance(1000);
-  judge.note(Ok, 50, 0);
-  t.is(judge.probeInMs(2), 0, "a good answer calls for others at once");
+  detector.note(Ok, 50, 0);
+  t.is(detector.probeInMs(2), 0, "a good answer calls for others at once");
 });
 
 test("judge: the risk falls with good answers, rises with failures, and drifts back with time", async (t) => {
-  const { clock, judge } = rig();
-  const fresh = judge.risk;
+  const { clock, detector } = rig();
+  const fresh = detector.risk;
   await clock.advance(3000);
-  const old = judge.risk;
-  judge.note(Failed, 2, 0);
-  t.true(fresh < 0.02 && old > 0.05 && old < 0.3 && judge.risk > 0.6);
+  const old = detector.risk;
+  detector.note(Failed, 2, 0);
+  t.true(fresh < 0.02 && old > 0.05 && old < 0.3 && detector.risk > 0.6);
 });
--- a/src/sidecar/detection/TargetJudge.ts
+++ b/src/sidecar/detection/GrayFailureDetector.ts
@@ -2,9 +2,9 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import { AttemptOutcome } from "./AttemptOutcome.ts";
 import type { DetectionRule } from "./DetectionRule.ts";
-import { FadingScore } from "./FadingScore.ts";
-import { GrayChance } from "./GrayChance.ts";
-import type { Admissible, Judge } from "./Judge.ts";
+import { DecayingScore } from "./DecayingScore.ts";
+import { GrayStateFilter } from "./GrayStateFilter.ts";
+import type { Admissible, HealthDetector } from "./HealthDetector.ts";
 
 /** Share of requests that a healthy target answers with an error of its own, and that a gray one fails. */
 const HEALTHY_FAILURES = 0.012;
@@ -87,7 +87,7 @@
 /** An ejection this soon after the last, as a multiple of how long a silent target stays out, makes it stay out for longer. */
 const SOON_FACTOR = 4;
 
-interface TargetJudgeDeps {
+interface GrayFailureDetectorDeps {
   readonly rule: () => DetectionRule;
   readonly clock: Clock;
   readonly log: bunyan;
@@ -103,13 +103,13 @@
  * the passing of time: expendable requests tell when it is well again. Only a target that
  * nothing is heard of is tried again in the end.
  */
-export class TargetJudge implements Judge {
-  readonly #deps: TargetJudgeDeps;
-  readonly #gray: GrayChance;
+export class GrayFailureDetector implements HealthDetector {
+  readonly #deps: GrayFailureDetectorDeps;
+  readonly #gray: GrayStateFilter;
   /** Answers while under suspicion, and those of them that were failures, fading. */
-  readonly #answers: FadingScore;
-  readonly #failures: FadingScore;
-  readonly #wrongs: FadingScore;
+  readonly #answers: DecayingScore;
+  readonly #failures: DecayingScore;
+  readonly #wrongs: DecayingScore;
   /** When the newest requests that failed, and that were answered well, began. */
   #failedSince = -Infinity;
   #okSince = -Infinity;
@@ -122,12 +122,12 @@
   #ejectedAt = -Infinity;
   #nextProbeAt = -Infinity;
 
-  constructor(deps: TargetJudgeDeps) {
+  constructor(deps: GrayFailureDetectorDeps) {
     this.#deps = deps;
-    this.#gray = new GrayChance(deps.clock);
-    this.#answers = new FadingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
-    this.#failures = new FadingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
-    this.#wrongs = new FadingScore(deps.clock, () => WRONG_HALF_LIFE_MS);
+    this.#gray = new GrayStateFilter(deps.clock);
+    this.#answers = new DecayingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
+    this.#failures = new DecayingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
+    this.#wrongs = new DecayingScore(deps.clock, () => WRONG_HALF_LIFE_MS);
     this.#silentMs = deps.rule().ejectMs;
     this.#heardAt = deps.clock.now();
   }
--- a/src/sidecar/detection/GrayChance.ts
+++ b/src/sidecar/detection/GrayStateFilter.ts
@@ -23,7 +23,7 @@
  * Markov Models", 1989). Between answers the chance drifts to the usual one: a target
  * that answered well two seconds ago may have turned since.
  */
-export class GrayChance {
+export class GrayStateFilter {
   readonly #clock: Clock;
   #chance = LEAST;
   #at: number;
--- a/src/sidecar/detection/Judge.ts
+++ b/src/sidecar/detection/HealthDetector.ts
@@ -11,7 +11,7 @@
 }
 
 /** What is thought of the target beside this sidecar, from how its requests end. */
-export interface Judge {
+export interface HealthDetector {
   /** Chance that it fails what it is given now, 0 to 1. */
   readonly risk: number;
   /** How its answer times compare with those of its service: 1 is usual, 2 twice as long. */
--- a/src/sidecar/dialect/Dialect.ts
+++ b/src/sidecar/dialect/Dialect.ts
@@ -4,14 +4,14 @@
 import type { TargetId } from "../../common/ids/TargetId.ts";
 
 /** What a caller says of its request besides the request itself. */
-export interface CallerWords {
+export interface CallerMetadata {
   readonly attempt: AttemptId;
   /** How long the caller will wait, ms; undefined when it does not say. */
   readonly remainingMs: number | undefined;
 }
 
 /** What a target is told of a request besides the request itself. */
-export interface TargetWords {
+export interface TargetMetadata {
   readonly attempt: AttemptId;
   /** Time left for the answer, ms. */
   readonly remainingMs: number;
@@ -24,7 +24,7 @@
 }
 
 /** What the head of an answer says about whose it is and whether the request ran. */
-export type AnswerHead =
+export type ResponseHead =
   | { readonly kind: "own" }
   /** The target says that it did not run the request; another target may be at the address. */
   | {
@@ -41,11 +41,11 @@
  */
 export interface Dialect {
   /** Reads what a caller says; a text tells it what is wrong with its request. */
-  readCaller(headers: IncomingHttpHeaders): CallerWords | string;
+  readCaller(headers: IncomingHttpHeaders): CallerMetadata | string;
   /** Headers for the target; they replace any that the caller sent under these names. */
-  writeTarget(words: TargetWords): Record<string, string>;
+  writeTarget(words: TargetMetadata): Record<string, string>;
   /** Reads the head of a target's answer to what {@link writeTarget} said. */
-  readAnswer(words: TargetWords, status: number, headers: IncomingHttpHeaders): AnswerHead;
+  readResponse(words: TargetMetadata, status: number, headers: IncomingHttpHeaders): ResponseHead;
   /** The `Retry-After` that says to come back after `ms`. */
   writeRetryAfter(ms: number): string;
 }
--- a/src/sidecar/dialect/ownDialect.ts
+++ b/src/sidecar/dialect/ownDialect.ts
@@ -24,7 +24,7 @@
     ...(echoHeader ? { [echoHeader]: attempt } : {}),
   }),
 
-  readAnswer: ({ attempt, echoHeader }, status, headers) => {
+  readResponse: ({ attempt, echoHeader }, status, headers) => {
     const echoed = echoHeader && headers[echoHeader];
     if (echoed && echoed !== attempt) {
       return { kind: "foreign", reason: "answer to another request" };
--- a/src/sidecar/forwarding/TargetRequest.ts
+++ b/src/sidecar/forwarding/TargetRequest.ts
@@ -1,5 +1,5 @@
 import type { Readable } from "node:stream";
-import type { TargetWords } from "../dialect/Dialect.ts";
+import type { TargetMetadata } from "../dialect/Dialect.ts";
 import type { HeaderList } from "./HeaderList.ts";
 
 /** A caller's request as it is sent to a target. */
@@ -12,7 +12,7 @@
   /** Length of a body that is streamed, where it is known. */
   readonly bodyLength?: number;
   /** What the target is told besides; the time left is worked out when it is sent. */
-  readonly words: Omit<TargetWords, "remainingMs">;
+  readonly words: Omit<TargetMetadata, "remainingMs">;
   /** When the answer must be there, by the steady clock, ms. */
   readonly deadlineAt: number;
   readonly idempotent: boolean;
--- a/src/sidecar/forwarding/TargetSender.ts
+++ b/src/sidecar/forwarding/TargetSender.ts
@@ -4,9 +4,9 @@
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import type { Dialect, TargetWords } from "../dialect/Dialect.ts";
+import type { Dialect, TargetMetadata } from "../dialect/Dialect.ts";
 import type { ForwardResult } from "./ForwardResult.ts";
-import { readAnswer } from "./readAnswer.ts";
+import { readResponse } from "./readResponse.ts";
 import { RETRY_AFTER_MS } from "./RETRY_AFTER_MS.ts";
 import { TargetAgent } from "./TargetAgent.ts";
 import { TargetExchange } from "./TargetExchange.ts";
@@ -111,7 +111,7 @@
     this.#agents.clear();
   }
 
-  #headers(req: TargetRequest, words: TargetWords): string[] {
+  #headers(req: TargetRequest, words: TargetMetadata): string[] {
     const { dialect, via } = this.#deps;
     const trail = via === "" ? [] : ["via", `1.1 ${via}`];
     return [...withHeaders(req.headers, dialect.writeTarget(words)), ...trail];
@@ -134,12 +134,12 @@
   async #toResult(
     target: TargetInfo,
     req: TargetRequest,
-    words: TargetWords,
+    words: TargetMetadata,
     res: IncomingMessage,
     exchange: TargetExchange,
   ): Promise<ForwardResult> {
     const status = res.statusCode ?? 0;
-    const head = this.#deps.dialect.readAnswer(words, status, res.headers);
+    const head = this.#deps.dialect.readResponse(words, status, res.headers);
     switch (head.kind) {
       case "not-run":
         res.resume();
@@ -155,7 +155,7 @@
         exchange.abort();
         return mayHaveRun(target, head.reason, AttemptOutcome.Wrong);
       case "own": {
-        const answer = await readAnswer(res, req.wholeAnswer ?? false, () =>
+        const answer = await readResponse(res, req.wholeAnswer ?? false, () =>
           exchange.checkEnd(res),
         );
         const verdict = { kind: "done", target: target.id, status } as const;
--- a/src/sidecar/forwarding/readAnswer.ts
+++ b/src/sidecar/forwarding/readResponse.ts
@@ -17,7 +17,7 @@
  * is passed on as it comes, after its first {@link MAX_BUFFERED_BYTES}; it
  * fails when the target cuts it short. Rejects when cut short before that.
  */
-export async function readAnswer(
+export async function readResponse(
   source: Readable,
   whole: boolean,
   checkEnd: CheckEnd = () => Promise.resolve(),
--- a/src/sidecar/gate/RunsHere.test.ts
+++ b/src/sidecar/gate/ActiveRuns.test.ts
@@ -1,11 +1,11 @@
 import test from "ava";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import { RunsHere } from "./RunsHere.ts";
+import { ActiveRuns } from "./ActiveRuns.ts";
 
 const CALL = { route: "r", service: "svc", weight: 1 };
 
 test("runs here: those under way are counted", (t) => {
-  const runs = new RunsHere(new FakeClock());
+  const runs = new ActiveRuns(new FakeClock());
   const first = runs.begin();
   const second = runs.begin();
   t.is(runs.count, 2);
@@ -17,7 +17,7 @@
 
 test("runs here: the share of the time without any", async (t) => {
   const clock = new FakeClock();
-  const runs = new RunsHere(clock);
+  const runs = new ActiveRuns(clock);
   await clock.advance(300);
   const begun = [runs.begin(), runs.begin()];
   await clock.advance(500);
@@ -52,7 +52,7 @@
 for (const { name, callStartsMs, callEndsMs, runFailsMs, explains } of losses) {
   test(`runs here: a lost call that ${name} ${explains ? "explains" : "does not explain"} a failed run`, async (t) => {
     const clock = new FakeClock();
-    const runs = new RunsHere(clock);
+    const runs = new ActiveRuns(clock);
     let end: (wasServed: boolean) => void = () => undefined;
     clock.after(callStartsMs, () => {
       end = runs.beginCall(CALL);
@@ -71,7 +71,7 @@
 
 test("runs here: a run may be waiting for a call that was made since it began, until that has ended", async (t) => {
   const clock = new FakeClock();
-  const runs = new RunsHere(clock);
+  const runs = new ActiveRuns(clock);
   await clock.advance(100);
   const end = runs.beginCall(CALL);
   t.true(runs.hasOpenCall(50));
@@ -83,7 +83,7 @@
 
 test("runs here: what has been idle long ago says nothing of now", async (t) => {
   const clock = new FakeClock();
-  const runs = new RunsHere(clock);
+  const runs = new ActiveRuns(clock);
   await clock.advance(60_000);
   t.is(runs.idleShare, 1);
   runs.begin();
@@ -95,7 +95,7 @@
 
 test("runs here: the calls that a run makes, on average", async (t) => {
   const clock = new FakeClock();
-  const runs = new RunsHere(clock);
+  const runs = new ActiveRuns(clock);
   const mean = () => runs.callMeans.get("svc") ?? 0;
   t.is(mean(), 0);
   for (let n = 0; n < 30; n++) {
--- a/src/sidecar/gate/RunsHere.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -41,7 +41,7 @@
 }
 
 /** The runs under way at the targets beside this sidecar, and the calls that these make. */
-export class RunsHere {
+export class ActiveRuns {
   readonly #clock: Clock;
   readonly #startedAt: number;
   #count = 0;
--- a/src/sidecar/gate/AskLine.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -1,39 +1,39 @@
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { RefusalReason } from "../hop/RefusalReason.ts";
-import { AskQueue } from "./AskQueue.ts";
+import { SlotRequestQueue } from "./SlotRequestQueue.ts";
 import { isLate } from "./isLate.ts";
-import { LineForecast } from "./LineForecast.ts";
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import { WaitEstimator } from "./WaitEstimator.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
-type Reply = (reply: AskReply) => void;
+type Reply = (reply: SlotReply) => void;
 
 /** An ask whose turn has come, and whoever waits for its answer; undefined where that has given up. */
 interface Turn {
-  readonly waiting: WaitingAsk;
+  readonly waiting: QueuedRequest;
   readonly reply: Reply | undefined;
 }
 
 /** The asks that stand in line at a gate, with those who wait for their answers. */
-export class AskLine {
-  readonly #queue: AskQueue;
-  readonly #forecast = new LineForecast();
-  readonly #replies = new Map<WaitingAsk, Reply>();
+export class AdmissionQueue {
+  readonly #queue: SlotRequestQueue;
+  readonly #estimator = new WaitEstimator();
+  readonly #replies = new Map<QueuedRequest, Reply>();
 
-  constructor(order?: ConstructorParameters<typeof AskQueue>[0]) {
-    this.#queue = new AskQueue(order);
+  constructor(order?: ConstructorParameters<typeof SlotRequestQueue>[0]) {
+    this.#queue = new SlotRequestQueue(order);
   }
 
   get length(): number {
     return this.#queue.length;
   }
 
-  add(waiting: WaitingAsk, reply: Reply): void {
+  add(waiting: QueuedRequest, reply: Reply): void {
     this.#queue.add(waiting);
     this.#replies.set(waiting, reply);
   }
 
   /** Takes one out; false when it is not here any more. */
-  remove(waiting: WaitingAsk): boolean {
+  remove(waiting: QueuedRequest): boolean {
     this.#replies.delete(waiting);
     return this.#queue.remove(waiting);
   }
@@ -51,10 +51,10 @@
 
   /** Takes out all that are to be refused, and tells those who wait for them. */
   refuse(
-    refusalOf: (waiting: WaitingAsk) => RefusalReason | undefined,
-    answer: (reason: RefusalReason, waiting: WaitingAsk) => AskReply,
+    refusalOf: (waiting: QueuedRequest) => RefusalReason | undefined,
+    answer: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
   ): void {
-    const reasons = new Map<WaitingAsk, RefusalReason>();
+    const reasons = new Map<QueuedRequest, RefusalReason>();
     this.#queue.takeAll((waiting) => {
       const reason = refusalOf(waiting);
       if (reason) {
@@ -69,13 +69,13 @@
   }
 
   /** Notes that an ask was given a slot, in line or as it came. */
-  noteGrant(waiting: WaitingAsk, now: number, serviceMs: number): void {
-    const { isCall } = waiting.ask;
-    this.#forecast.noteGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
+  noteGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
+    const { isCall } = waiting.request;
+    this.#estimator.noteGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
   }
 
   /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
-  waitMs(waiting: WaitingAsk, now: number, pace: { slots: number; serviceMs: number }): number {
-    return this.#forecast.waitMs(waiting, this.#queue, now, pace);
+  waitMs(waiting: QueuedRequest, now: number, pace: { slots: number; serviceMs: number }): number {
+    return this.#estimator.waitMs(waiting, this.#queue, now, pace);
   }
 }
--- a/src/sidecar/gate/CallsPerRun.ts
+++ b/src/sidecar/gate/CallsPerRun.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
-import { FadingScore } from "../detection/FadingScore.ts";
+import { DecayingScore } from "../detection/DecayingScore.ts";
 
 /** Calls that a run makes, on average, by the names of the services called. */
 export type CallMeans = ReadonlyMap<string, number>;
@@ -20,8 +20,8 @@
  */
 export class CallsPerRun {
   readonly #clock: Clock;
-  readonly #runs: FadingScore;
-  readonly #calls = new Map<string, FadingScore>();
+  readonly #runs: DecayingScore;
+  readonly #calls = new Map<string, DecayingScore>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -52,7 +52,7 @@
     return new Map(means.filter(([, mean]) => mean >= LEAST_MEAN));
   }
 
-  #counter(): FadingScore {
-    return new FadingScore(this.#clock, () => HALF_LIFE_MS);
+  #counter(): DecayingScore {
+    return new DecayingScore(this.#clock, () => HALF_LIFE_MS);
   }
 }
--- a/src/sidecar/gate/Gate.test.ts
+++ b/src/sidecar/gate/Gate.test.ts
@@ -1,14 +1,14 @@
 import test from "ava";
 import bunyan from "bunyan";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { Service } from "../../common/document/Service.ts";
 import { GrantId } from "../../common/ids/GrantId.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import { TargetJudge } from "../detection/TargetJudge.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
-import type { Judge } from "../detection/Judge.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import { GrayFailureDetector } from "../detection/GrayFailureDetector.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
+import type { HealthDetector } from "../detection/HealthDetector.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
 
@@ -18,17 +18,17 @@
 const GRANT_MS = 250;
 
 /** A gate to a target with `slots`, whose replies are noted by attempt. */
-function rig(slots = 2, judge: Judge = TrustingJudge, clock = new FakeClock()) {
+function rig(slots = 2, detector: HealthDetector = AlwaysHealthyDetector, clock = new FakeClock()) {
   const target = { slots, takesWork: true, here: true };
   const gate = new Gate({
     target: () => (target.here ? target : undefined),
-    judge,
+    detector,
     clock,
     grants: new GrantIds("b"),
   });
-  const replies = new Map<string, AskReply>();
-  const ask = (attempt: string, over: Parameters<typeof makeAsk>[0] = {}) =>
-    gate.ask(makeAsk({ attempt, ...over }), (reply) => replies.set(attempt, reply));
+  const replies = new Map<string, SlotReply>();
+  const ask = (attempt: string, over: Parameters<typeof makeSlotRequest>[0] = {}) =>
+    gate.requestSlot(makeSlotRequest({ attempt, ...over }), (reply) => replies.set(attempt, reply));
   const grantOf = (attempt: string): GrantId => {
     const reply = replies.get(attempt);
     return reply?.kind === "granted" ? reply.grant : GrantId("none");
@@ -178,9 +178,13 @@
 test("gate: once its target has failed a request, what waits and has no other try goes elsewhere at once", (t) => {
   // Story: two bookings run at a target and a third waits. One of the two fails. The third would
   // be given the slot next, or wait for a target that it may not have.
-  const judge = { ...TrustingJudge, isSuspect: false, admits: () => !judge.isSuspect };
-  judge.note = () => (judge.isSuspect = true);
-  const { gate, ask, said, grantOf } = rig(2, judge);
+  const detector = {
+    ...AlwaysHealthyDetector,
+    isSuspect: false,
+    admits: () => !detector.isSuspect,
+  };
+  detector.note = () => (detector.isSuspect = true);
+  const { gate, ask, said, grantOf } = rig(2, detector);
   ask("a");
   ask("b");
   ask("c", { isExpendable: false });
@@ -195,10 +199,10 @@
   // bookings in a second were failed in a row by two targets of which that was known.
   const rule = Service.parse({ name: "svc" }).detection;
   const clock = new FakeClock();
-  const judge = new TargetJudge({ rule: () => rule, clock, log });
-  const { gate, ask, said, grantOf } = rig(1, judge, clock);
+  const detector = new GrayFailureDetector({ rule: () => rule, clock, log });
+  const { gate, ask, said, grantOf } = rig(1, detector, clock);
   await clock.advance(500);
-  judge.note(AttemptOutcome.Failed, 1, 0);
+  detector.note(AttemptOutcome.Failed, 1, 0);
   ask("a", { acceptsRisk: 0.8, isExpendable: false });
   ask("b", { acceptsRisk: 0.8, isExpendable: false });
   ask("any", { acceptsRisk: 1, isExpendable: false });
@@ -236,8 +240,8 @@
 test("gate: a run that takes far longer than usual is told to the judge while it lasts", async (t) => {
   // Story: a target hangs. Its first requests are noticed long before their deadlines.
   let overdue = 0;
-  const judge: Judge = { ...TrustingJudge, noteOverdue: () => (overdue += 1) };
-  const { clock, gate, ask, grantOf } = rig(2, judge);
+  const detector: HealthDetector = { ...AlwaysHealthyDetector, noteOverdue: () => (overdue += 1) };
+  const { clock, gate, ask, grantOf } = rig(2, detector);
   ask("a", { typicalMs: 100 });
   gate.take(grantOf("a"));
   await clock.advance(299);
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -1,16 +1,16 @@
 import type { GrantId } from "../../common/ids/GrantId.ts";
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import type { Judge } from "../detection/Judge.ts";
-import type { Ask } from "../hop/Ask.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { HealthDetector } from "../detection/HealthDetector.ts";
+import type { SlotRequest } from "../hop/SlotRequest.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
-import { AskLine } from "./AskLine.ts";
+import { AdmissionQueue } from "./AdmissionQueue.ts";
 import type { GrantIds } from "./GrantIds.ts";
 import { runRoomMs } from "./runRoomMs.ts";
 import { SlotTable } from "./SlotTable.ts";
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** The target, as far as the gate needs to know it. */
 interface GatedTarget {
@@ -22,7 +22,7 @@
 interface GateDeps {
   /** The target as it announced itself last; undefined when it is gone. */
   readonly target: () => GatedTarget | undefined;
-  readonly judge: Judge;
+  readonly detector: HealthDetector;
   readonly clock: Clock;
   readonly grants: Pick<GrantIds, "next">;
   /** Whether a run that began at the time given may be waiting for a call of its own; left out, none makes any. */
@@ -30,7 +30,7 @@
   /** Told when the target is thought of otherwise: well, suspect or ejected. */
   readonly onJudged?: (load: GateLoad) => void;
   /** Who goes first of those that wait; left out, the product's own order. */
-  readonly order?: ConstructorParameters<typeof AskLine>[0];
+  readonly order?: ConstructorParameters<typeof AdmissionQueue>[0];
 }
 
 /**
@@ -84,7 +84,7 @@
  */
 export class Gate {
   readonly #deps: GateDeps;
-  readonly #line: AskLine;
+  readonly #line: AdmissionQueue;
   readonly #slots: SlotTable;
   readonly #life = new AbortController();
   #weighedAt = -Infinity;
@@ -95,32 +95,32 @@
 
   constructor(deps: GateDeps) {
     this.#deps = deps;
-    this.#line = new AskLine(deps.order);
+    this.#line = new AdmissionQueue(deps.order);
     this.#slots = new SlotTable(deps.clock);
   }
 
   /** How busy the target is. */
   get load(): GateLoad {
-    const { judge } = this.#deps;
+    const { detector } = this.#deps;
     return {
       slots: this.#deps.target()?.slots ?? 0,
       busy: this.#slots.size,
       queued: this.#line.length,
       serviceMs: Math.round(this.#serviceMs),
-      pace: judge.pace,
-      risk: Math.round(judge.risk * 1000) / 1000,
-      suspect: judge.isSuspect,
-      ejected: judge.isEjected,
-      probeInMs: judge.probeInMs(this.#slots.probes),
+      pace: detector.pace,
+      risk: Math.round(detector.risk * 1000) / 1000,
+      suspect: detector.isSuspect,
+      ejected: detector.isEjected,
+      probeInMs: detector.probeInMs(this.#slots.probes),
       endsInMs: this.#endAt < Infinity ? this.#endAt - this.#deps.clock.now() : undefined,
     };
   }
 
   /** Weighs an ask; `reply` is called once, at once or when a slot is free. */
-  ask(ask: Ask, reply: (reply: AskReply) => void): Ticket {
-    const waiting = { ask, askedAt: this.#deps.clock.now() };
+  requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): Ticket {
+    const waiting = { request, askedAt: this.#deps.clock.now() };
     let grant: GrantId | undefined;
-    const answer = (said: AskReply) => {
+    const answer = (said: SlotReply) => {
       grant = said.kind === "granted" ? said.grant : undefined;
       reply(said);
     };
@@ -129,14 +129,14 @@
         this.revoke(grant);
       }
     };
-    const refusal = this.#refusalOf(waiting) ?? this.#refusalOfNewcomer(ask);
+    const refusal = this.#refusalOf(waiting) ?? this.#refusalOfNewcomer(request);
     if (refusal !== undefined) {
       answer(this.#refuse(refusal, waiting));
       return { queued: false, withdraw: () => undefined };
     }
     if (this.#isIdle) {
       this.#line.noteGrant(waiting, waiting.askedAt, this.#serviceMs);
-      this.#grant(ask, answer);
+      this.#grant(request, answer);
       return { queued: false, withdraw: revoke };
     }
     this.#line.add(waiting, answer);
@@ -158,10 +158,10 @@
   }
 
   /** Begins the run that a grant was given for; undefined when the grant has expired. */
-  take(grant: GrantId): Ask | undefined {
+  take(grant: GrantId): SlotRequest | undefined {
     return this.#slots.take(
       grant,
-      (ask) => this.#usualMs(ask) * OVERDUE_FACTOR,
+      (request) => this.#usualMs(request) * OVERDUE_FACTOR,
       (since) => this.#noteOverdue(since),
     );
   }
@@ -172,7 +172,7 @@
       return false;
     }
     this.#tellJudge(() => {
-      this.#deps.judge.noteOverdue(this.#deps.clock.now() - since);
+      this.#deps.detector.noteOverdue(this.#deps.clock.now() - since);
     });
     return true;
   }
@@ -183,11 +183,11 @@
     if (!ended) {
       return;
     }
-    const { ask, ms, wasOverdue } = ended;
+    const { request, ms, wasOverdue } = ended;
     // One that was overdue, and then ran out of time, is one observation.
     if (!(wasOverdue && outcome === AttemptOutcome.TimedOut)) {
       this.#tellJudge(() => {
-        this.#deps.judge.note(outcome, ms, ask.typicalMs);
+        this.#deps.detector.note(outcome, ms, request.typicalMs);
       });
     }
     this.#noteServiceMs(ms);
@@ -216,8 +216,8 @@
   }
 
   get #standing(): "ejected" | "suspect" | "well" {
-    const { judge } = this.#deps;
-    return judge.isEjected ? "ejected" : judge.isSuspect ? "suspect" : "well";
+    const { detector } = this.#deps;
+    return detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well";
   }
 
   /** Looks again at what waits: the target has changed, come, or is leaving, or is thought of otherwise. */
@@ -287,7 +287,7 @@
   }
 
   /** Why an ask cannot join the line; undefined when it can. */
-  #refusalOfNewcomer({ attempt }: Ask): RefusalReason | undefined {
+  #refusalOfNewcomer({ attempt }: SlotRequest): RefusalReason | undefined {
     if (this.#slots.has(attempt)) {
       return RefusalReason.Duplicate;
     }
@@ -297,32 +297,32 @@
   }
 
   /** Why an ask, in line or about to join it, cannot be granted, now or by waiting; undefined when it can. */
-  #refusalOf(waiting: WaitingAsk): RefusalReason | undefined {
-    const { ask, askedAt } = waiting;
+  #refusalOf(waiting: QueuedRequest): RefusalReason | undefined {
+    const { request, askedAt } = waiting;
     const target = this.#deps.target();
     if (!target) {
       return RefusalReason.NoTarget;
     }
     const now = this.#deps.clock.now();
-    const remainingMs = ask.remainingMs - (now - askedAt);
+    const remainingMs = request.remainingMs - (now - askedAt);
     const waitMs = this.#waitMs(waiting);
-    const endsTooSoon = now + waitMs + this.#roomMs({ ...ask, remainingMs }) > this.#endAt;
+    const endsTooSoon = now + waitMs + this.#roomMs({ ...request, remainingMs }) > this.#endAt;
     if (this.#closed || !target.takesWork || endsTooSoon) {
       return RefusalReason.Leaving;
     }
-    if (!this.#deps.judge.admits(ask, this.#slots.probes)) {
+    if (!this.#deps.detector.admits(request, this.#slots.probes)) {
       return RefusalReason.Suspect;
     }
     return waitMs > 0 && waitMs + this.#serviceMs > remainingMs ? RefusalReason.Full : undefined;
   }
 
   /** Time that a run of the request should be given before this sidecar ends, ms; by its deadline it is over. */
-  #roomMs(ask: Ask): number {
-    return Math.min(ask.remainingMs, runRoomMs(this.#usualMs(ask), ask.isExpendable));
+  #roomMs(request: SlotRequest): number {
+    return Math.min(request.remainingMs, runRoomMs(this.#usualMs(request), request.isExpendable));
   }
 
   /** What a request usually takes, ms. */
-  #usualMs({ typicalMs }: Ask): number {
+  #usualMs({ typicalMs }: SlotRequest): number {
     return typicalMs > 0 ? typicalMs : this.#serviceMs;
   }
 
@@ -332,7 +332,7 @@
   }
 
   /** How long an ask will wait for a slot from now on, ms. */
-  #waitMs(waiting: WaitingAsk): number {
+  #waitMs(waiting: QueuedRequest): number {
     if (this.#isIdle) {
       return 0;
     }
@@ -340,7 +340,7 @@
     return this.#line.waitMs(waiting, this.#deps.clock.now(), pace);
   }
 
-  #refuse(reason: RefusalReason, waiting: WaitingAsk): AskReply {
+  #refuse(reason: RefusalReason, waiting: QueuedRequest): SlotReply {
     return {
       kind: "refused",
       reason,
@@ -349,12 +349,12 @@
     };
   }
 
-  #grant(ask: Ask, reply: (reply: AskReply) => void): void {
-    const { grants, judge } = this.#deps;
+  #grant(request: SlotRequest, reply: (reply: SlotReply) => void): void {
+    const { grants, detector } = this.#deps;
     const grant = grants.next();
-    const isProbe = judge.isSuspect && judge.risk > ask.acceptsRisk;
-    const grantMs = GRANT_MS + ask.bodyBytes / GRANT_BYTES_PER_MS;
-    this.#slots.grant(grant, ask, isProbe, grantMs, () => {
+    const isProbe = detector.isSuspect && detector.risk > request.acceptsRisk;
+    const grantMs = GRANT_MS + request.bodyBytes / GRANT_BYTES_PER_MS;
+    this.#slots.grant(grant, request, isProbe, grantMs, () => {
       this.revoke(grant);
     });
     reply({ kind: "granted", grant, load: this.load });
@@ -381,16 +381,16 @@
   }
 
   /** Grants a slot to the ask whose turn it is, unless it is of no use to it any more. */
-  #giveTurn({ waiting, reply }: NonNullable<ReturnType<AskLine["next"]>>): void {
+  #giveTurn({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["next"]>>): void {
     const now = this.#deps.clock.now();
-    const remainingMs = waiting.ask.remainingMs - (now - waiting.askedAt);
-    const left = { ...waiting.ask, remainingMs };
+    const remainingMs = waiting.request.remainingMs - (now - waiting.askedAt);
+    const left = { ...waiting.request, remainingMs };
     if (!reply || remainingMs <= 0) {
       return; // Whoever asked has given up by its own clock.
     }
     if (now + this.#roomMs(left) > this.#endAt) {
       reply(this.#refuse(RefusalReason.Leaving, waiting));
-    } else if (!this.#deps.judge.admits(left, this.#slots.probes)) {
+    } else if (!this.#deps.detector.admits(left, this.#slots.probes)) {
       reply(this.#refuse(RefusalReason.Suspect, waiting));
     } else {
       this.#line.noteGrant(waiting, now, this.#serviceMs);
--- a/src/sidecar/gate/GateServer.test.ts
+++ b/src/sidecar/gate/GateServer.test.ts
@@ -3,7 +3,7 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import test from "ava";
 import bunyan from "bunyan";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { makeTarget } from "../../../test/fixtures/makeTarget.ts";
 import { results } from "../../../test/fixtures/results.ts";
 import { AttemptId } from "../../common/ids/AttemptId.ts";
@@ -11,13 +11,13 @@
 import { TargetId } from "../../common/ids/TargetId.ts";
 import { SystemClock } from "../../common/lifecycle/SystemClock.ts";
 import { openTracing } from "../../common/telemetry/openTracing.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import { HOP } from "../hop/HOP.ts";
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
 import { GateServer } from "./GateServer.ts";
-import { RunsHere } from "./RunsHere.ts";
+import { ActiveRuns } from "./ActiveRuns.ts";
 import { RunTable } from "./RunTable.ts";
 import { TargetRunner } from "./TargetRunner.ts";
 
@@ -35,7 +35,7 @@
   const grants = new GrantIds("this life");
   const gate = new Gate({
     target: () => ({ slots: 1, takesWork: true }),
-    judge: TrustingJudge,
+    detector: AlwaysHealthyDetector,
     clock: SystemClock,
     grants,
   });
@@ -43,7 +43,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs: new RunTable(SystemClock),
-    here: new RunsHere(SystemClock),
+    here: new ActiveRuns(SystemClock),
     target: () => makeTarget(TARGET),
     send: (_target, req) => {
       sent.push(req);
@@ -72,7 +72,7 @@
     });
   let given = GrantId("none");
   const grant = () =>
-    gate.ask(makeAsk({ attempt: ATTEMPT, remainingMs: REMAINING_MS }), (reply) => {
+    gate.requestSlot(makeSlotRequest({ attempt: ATTEMPT, remainingMs: REMAINING_MS }), (reply) => {
       given = reply.kind === "granted" ? reply.grant : given;
     });
   const close = () => {
--- a/src/sidecar/gate/GateServer.ts
+++ b/src/sidecar/gate/GateServer.ts
@@ -16,7 +16,7 @@
 import { openBody } from "../forwarding/openBody.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import { HOP } from "../hop/HOP.ts";
-import { hopAnswer } from "../hop/hopAnswer.ts";
+import { hopResponse } from "../hop/hopResponse.ts";
 import type { GrantName, TargetRunner } from "./TargetRunner.ts";
 import { unknownOutcome } from "./unknownOutcome.ts";
 
@@ -45,7 +45,7 @@
 /**
  * The way in to the targets beside this sidecar, for other sidecars and for this one:
  * for requests that were granted a slot, and those that come back for an answer whose
- * connection was lost. Slots are asked for by datagrams, see {@link AskServer}.
+ * connection was lost. Slots are asked for by datagrams, see {@link SlotServer}.
  */
 export class GateServer {
   readonly #deps: GateServerDeps;
@@ -173,7 +173,7 @@
     if (res.destroyed) {
       return;
     }
-    const own = hopAnswer.headersOf(out);
+    const own = hopResponse.headersOf(out);
     if (!("body" in out)) {
       res.writeHead(200, { ...own, "content-length": 0 });
       res.end();
--- a/src/sidecar/gate/AskQueue.test.ts
+++ b/src/sidecar/gate/SlotRequestQueue.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { AttemptId } from "../../common/ids/AttemptId.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
-import { AskQueue } from "./AskQueue.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
+import { SlotRequestQueue } from "./SlotRequestQueue.ts";
 
 /** Waiting asks as (name, priority, time asked, objective left then), ms, and whether a target's call. */
 type Row = readonly [
@@ -125,40 +125,46 @@
 
 for (const { name, now, serviceMs, rows, order } of cases) {
   test(`ask queue: ${name}`, (t) => {
-    const queue = new AskQueue();
+    const queue = new SlotRequestQueue();
     for (const [attempt, priority, askedAt, objectiveMs, isCall = false] of rows) {
-      const ask = makeAsk({ attempt, priority, objectiveMs, isCall, typicalMs: 0 });
-      queue.add({ ask, askedAt });
+      const request = makeSlotRequest({ attempt, priority, objectiveMs, isCall, typicalMs: 0 });
+      queue.add({ request, askedAt });
     }
-    const taken = rows.map(() => queue.take(now, serviceMs)?.ask.attempt);
+    const taken = rows.map(() => queue.take(now, serviceMs)?.request.attempt);
     t.is(taken.join(""), order);
     t.is(queue.take(now, serviceMs), undefined);
   });
 }
 
 test("ask queue: the place of a newcomer is where it will be taken from", (t) => {
-  const queue = new AskQueue();
-  queue.add({ ask: makeAsk({ attempt: "a", priority: 1, objectiveMs: 500 }), askedAt: 0 });
-  queue.add({ ask: makeAsk({ attempt: "b", priority: 2, objectiveMs: 1100 }), askedAt: 0 });
-  const ahead = (over: Parameters<typeof makeAsk>[0]) =>
-    queue.ahead({ ask: makeAsk(over), askedAt: 0 }, 0, 50).length;
+  const queue = new SlotRequestQueue();
+  queue.add({
+    request: makeSlotRequest({ attempt: "a", priority: 1, objectiveMs: 500 }),
+    askedAt: 0,
+  });
+  queue.add({
+    request: makeSlotRequest({ attempt: "b", priority: 2, objectiveMs: 1100 }),
+    askedAt: 0,
+  });
+  const ahead = (over: Parameters<typeof makeSlotRequest>[0]) =>
+    queue.ahead({ request: makeSlotRequest(over), askedAt: 0 }, 0, 50).length;
   t.is(ahead({ priority: 0 }), 0);
   t.is(ahead({ priority: 1, objectiveMs: 900 }), 1);
   t.is(ahead({ priority: 3, objectiveMs: 1000 }), 2);
 });
 
 test("ask queue: whether one is late goes by what its own kind takes", (t) => {
-  const queue = new AskQueue();
+  const queue = new SlotRequestQueue();
   const row = (attempt: string, typicalMs: number) =>
-    ({ ask: makeAsk({ attempt, objectiveMs: 300, typicalMs }), askedAt: 0 }) as const;
+    ({ request: makeSlotRequest({ attempt, objectiveMs: 300, typicalMs }), askedAt: 0 }) as const;
   queue.add(row("long", 200));
   queue.add(row("short", 20));
-  t.is(queue.take(150, 100)?.ask.attempt, AttemptId("short"));
+  t.is(queue.take(150, 100)?.request.attempt, AttemptId("short"));
 });
 
 test("ask queue: one that was taken back is not given a turn", (t) => {
-  const queue = new AskQueue();
-  const waiting = { ask: makeAsk(), askedAt: 0 };
+  const queue = new SlotRequestQueue();
+  const waiting = { request: makeSlotRequest(), askedAt: 0 };
   queue.add(waiting);
   t.true(queue.remove(waiting));
   t.false(queue.remove(waiting));
--- a/src/sidecar/gate/AskQueue.ts
+++ b/src/sidecar/gate/SlotRequestQueue.ts
@@ -1,13 +1,13 @@
 import { goesBefore } from "./goesBefore.ts";
 import { isLate } from "./isLate.ts";
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Whether the first goes before the second, at a time (ms), when a request takes so long (ms). */
-type AskOrder = (a: WaitingAsk, b: WaitingAsk, now: number, serviceMs: number) => boolean;
+type AskOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
 
 /** Asks waiting for a slot at one target, taken in the order that `goesBefore` gives. */
-export class AskQueue {
-  readonly #waiting: WaitingAsk[] = [];
+export class SlotRequestQueue {
+  readonly #waiting: QueuedRequest[] = [];
   readonly #goesBefore: AskOrder;
 
   constructor(order: AskOrder = goesBefore) {
@@ -18,12 +18,12 @@
     return this.#waiting.length;
   }
 
-  add(waiting: WaitingAsk): void {
+  add(waiting: QueuedRequest): void {
     this.#waiting.push(waiting);
   }
 
   /** Takes one back; false when it is not here any more. */
-  remove(waiting: WaitingAsk): boolean {
+  remove(waiting: QueuedRequest): boolean {
     const at = this.#waiting.indexOf(waiting);
     if (at < 0) {
       return false;
@@ -33,8 +33,8 @@
   }
 
   /** Takes the one whose turn it is, at `now`, when a request takes `serviceMs`. */
-  take(now: number, serviceMs: number): WaitingAsk | undefined {
-    let first: WaitingAsk | undefined;
+  take(now: number, serviceMs: number): QueuedRequest | undefined {
+    let first: QueuedRequest | undefined;
     for (const waiting of this.#waiting) {
       if (!first || this.#goesBefore(waiting, first, now, serviceMs)) {
         first = waiting;
@@ -47,7 +47,7 @@
   }
 
   /** Those that go before `waiting`, whether it is here or would join now. */
-  ahead(waiting: WaitingAsk, now: number, serviceMs: number): WaitingAsk[] {
+  ahead(waiting: QueuedRequest, now: number, serviceMs: number): QueuedRequest[] {
     return this.#waiting.filter(
       (w) => w !== waiting && !this.#goesBefore(waiting, w, now, serviceMs),
     );
@@ -59,7 +59,7 @@
   }
 
   /** Removes and returns all that `isDue` picks. */
-  takeAll(isDue: (waiting: WaitingAsk) => boolean): WaitingAsk[] {
+  takeAll(isDue: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
     const due = this.#waiting.filter(isDue);
     due.forEach((w) => this.remove(w));
     return due;
--- a/src/sidecar/gate/AskServer.test.ts
+++ b/src/sidecar/gate/SlotServer.test.ts
@@ -2,15 +2,15 @@
 import bunyan from "bunyan";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { idleLoad } from "../../../test/fixtures/FakeHop.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { AttemptId } from "../../common/ids/AttemptId.ts";
 import { GrantId } from "../../common/ids/GrantId.ts";
 import { TargetId } from "../../common/ids/TargetId.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
 import { gateWire } from "../hop/gateWire.ts";
-import { AskServer } from "./AskServer.ts";
+import { SlotServer } from "./SlotServer.ts";
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
 
@@ -19,20 +19,20 @@
   const clock = new FakeClock();
   const gate = new Gate({
     target: () => ({ slots: 1, takesWork: true }),
-    judge: TrustingJudge,
+    detector: AlwaysHealthyDetector,
     clock,
     grants: new GrantIds("b"),
   });
   const told: { to: string; message: ProtoTypes["GateMessage"] }[] = [];
-  const server = new AskServer({
+  const server = new SlotServer({
     gates: { get: (id) => (id === TargetId("x") ? gate : undefined) },
     metrics: { refused: () => undefined, waited: () => undefined },
     tell: (to, message) => told.push({ to, message }),
     clock,
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
-  const ask = (from: string, id: number, over: Parameters<typeof makeAsk>[0] = {}) => {
-    server.receive(gateWire.ask(id, makeAsk({ attempt: `${from}-${id}`, ...over })), from);
+  const ask = (from: string, id: number, over: Parameters<typeof makeSlotRequest>[0] = {}) => {
+    server.receive(gateWire.ask(id, makeSlotRequest({ attempt: `${from}-${id}`, ...over })), from);
   };
   const said = () =>
     told.map(({ to, message }) => {
@@ -108,7 +108,7 @@
 
 test("ask server: a target that is not here is said not to be, and what cannot be read is passed over", (t) => {
   const { server, said } = rig();
-  const elsewhere = { ...makeAsk(), target: TargetId("y") };
+  const elsewhere = { ...makeSlotRequest(), target: TargetId("y") };
   server.receive(gateWire.ask(1, elsewhere), "a");
   server.receive({ ...gateWire.ask(2, elsewhere), ask: null }, "a");
   server.receive(gateWire.ask(3, { ...elsewhere, attempt: AttemptId("") }), "a");
@@ -123,7 +123,7 @@
   await clock.advance(9000);
   ask("b", 1);
   await clock.advance(2000);
-  server.tellNews(TargetId("x"), { ...idleLoad, ejected: true });
+  server.publishLoad(TargetId("x"), { ...idleLoad, ejected: true });
   t.deepEqual(said().slice(-1), ["b: news"]);
   t.is(said().filter((line) => line.endsWith("news")).length, 1);
 });
--- a/src/sidecar/gate/AskServer.ts
+++ b/src/sidecar/gate/SlotServer.ts
@@ -5,8 +5,8 @@
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import type { SidecarMetrics } from "../admin/SidecarMetrics.ts";
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
-import type { Ask } from "../hop/Ask.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotRequest } from "../hop/SlotRequest.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { gateWire } from "../hop/gateWire.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
@@ -15,7 +15,7 @@
 type GateMessage = ProtoTypes["GateMessage"];
 
 /** The answer for a target that is not here. */
-const NOT_HERE: AskReply = {
+const NOT_HERE: SlotReply = {
   kind: "refused",
   reason: RefusalReason.NoTarget,
   retryAfterMs: RETRY_AFTER_MS,
@@ -46,7 +46,7 @@
 /** Those who hear of it, at most; the others ask, and are told then. */
 const MAX_SUBSCRIBERS = 128;
 
-interface AskServerDeps {
+interface SlotServerDeps {
   readonly gates: Pick<TargetGates, "get">;
   readonly metrics: Pick<SidecarMetrics, "refused" | "waited">;
   /** Sends a message that may be lost. */
@@ -57,7 +57,7 @@
 
 /** An ask that came, until it is forgotten. */
 interface Entry {
-  readonly ask: Ask;
+  readonly request: SlotRequest;
   readonly askedAt: number;
   /** What was said of it last. */
   said: GateMessage | undefined;
@@ -73,14 +73,14 @@
  * one, and answers them. An ask that is sent again is told again what was said of it. Whoever
  * has asked lately hears at once when a target is thought of otherwise, rather than by asking in vain.
  */
-export class AskServer {
-  readonly #deps: AskServerDeps;
+export class SlotServer {
+  readonly #deps: SlotServerDeps;
   readonly #entries = new Map<string, Entry>();
   /** When each sidecar asked last, by its address; the last to ask stands last. */
   readonly #askers = new Map<string, number>();
   #sweptAt = -Infinity;
 
-  constructor(deps: AskServerDeps) {
+  constructor(deps: SlotServerDeps) {
     this.#deps = deps;
   }
 
@@ -92,20 +92,20 @@
       this.#entries.delete(key);
       return;
     }
-    const ask = gateWire.readAsk(message);
-    if (!ask) {
+    const request = gateWire.readAsk(message);
+    if (!request) {
       return;
     }
     const { said } = this.#entries.get(key) ?? {};
     if (said) {
       this.#deps.tell(from, said);
     } else {
-      this.#take(key, ask, message.ask_id, from);
+      this.#take(key, request, message.ask_id, from);
     }
   }
 
   /** Tells those who have asked lately how a target is. */
-  tellNews(target: TargetId, load: GateLoad): void {
+  publishLoad(target: TargetId, load: GateLoad): void {
     const since = this.#deps.clock.now() - SUBSCRIBED_MS;
     const news = gateWire.news(target, load);
     const askers = [...this.#askers].filter(([, at]) => at >= since).slice(-MAX_SUBSCRIBERS);
@@ -114,18 +114,18 @@
     }
   }
 
-  #take(key: string, ask: Ask, id: number, from: string): void {
+  #take(key: string, request: SlotRequest, id: number, from: string): void {
     const { clock } = this.#deps;
     const askedAt = clock.now();
     this.#sweep(askedAt);
     this.#askers.delete(from);
     this.#askers.set(from, askedAt);
     const entry: Entry = {
-      ask,
+      request,
       askedAt,
       said: undefined,
       isOver: false,
-      forgetAt: askedAt + ask.remainingMs + REMEMBER_MS,
+      forgetAt: askedAt + request.remainingMs + REMEMBER_MS,
       withdraw: () => undefined,
     };
     this.#entries.set(key, entry);
@@ -133,7 +133,7 @@
       entry.said = message;
       this.#deps.tell(from, message);
     };
-    const answer = (reply: AskReply) => {
+    const answer = (reply: SlotReply) => {
       entry.isOver = true;
       entry.forgetAt = clock.now() + REMEMBER_MS;
       this.#note(entry, reply);
@@ -142,12 +142,12 @@
         this.#tellAgain(entry, reply.grant, from);
       }
     };
-    const gate = this.#deps.gates.get(ask.target);
+    const gate = this.#deps.gates.get(request.target);
     if (!gate) {
       answer(NOT_HERE);
       return;
     }
-    const ticket = gate.ask(ask, answer);
+    const ticket = gate.requestSlot(request, answer);
     entry.withdraw = () => {
       ticket.withdraw();
     };
@@ -156,10 +156,10 @@
     }
   }
 
-  #tellAgain({ ask, said }: Entry, grant: GrantId, from: string): void {
+  #tellAgain({ request, said }: Entry, grant: GrantId, from: string): void {
     for (const ms of GRANT_AGAIN_MS) {
       this.#deps.clock.after(ms, () => {
-        if (said && this.#isOpen(ask.target, grant)) {
+        if (said && this.#isOpen(request.target, grant)) {
           this.#deps.tell(from, said);
         }
       });
@@ -170,7 +170,7 @@
     return this.#deps.gates.get(target)?.isOpen(grant) ?? false;
   }
 
-  #note({ ask, askedAt }: Entry, reply: AskReply): void {
+  #note({ request, askedAt }: Entry, reply: SlotReply): void {
     const { metrics, clock, log } = this.#deps;
     if (reply.kind === "granted") {
       metrics.waited(clock.now() - askedAt);
@@ -178,7 +178,7 @@
     }
     const { reason, load } = reply;
     metrics.refused(reason);
-    const { attempt, target } = ask;
+    const { attempt, target } = request;
     log.info({ attempt, target, reason, load }, "slot refused");
   }
 
--- a/src/sidecar/gate/SlotTable.ts
+++ b/src/sidecar/gate/SlotTable.ts
@@ -2,11 +2,11 @@
 import type { GrantId } from "../../common/ids/GrantId.ts";
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { Timer } from "../../common/lifecycle/Timer.ts";
-import type { Ask } from "../hop/Ask.ts";
+import type { SlotRequest } from "../hop/SlotRequest.ts";
 
 /** What holds a slot: a grant that is to be taken, or a run. */
 interface Held {
-  readonly ask: Ask;
+  readonly request: SlotRequest;
   readonly state: "granted" | "running";
   /** When it was granted, or its run began, by the clock, ms. */
   readonly since: number;
@@ -39,7 +39,7 @@
 
   /** Whether `attempt` has a slot, granted or in use. */
   has(attempt: AttemptId): boolean {
-    return [...this.#held.values()].some((h) => h.ask.attempt === attempt);
+    return [...this.#held.values()].some((h) => h.request.attempt === attempt);
   }
 
   /** Whether a slot is granted that has not been taken yet. */
@@ -50,7 +50,7 @@
   /** Grants a slot; `onExpired` is called if it is not taken within `expiresMs`. */
   grant(
     grant: GrantId,
-    ask: Ask,
+    request: SlotRequest,
     isProbe: boolean,
     expiresMs: number,
     onExpired: () => void,
@@ -58,7 +58,7 @@
     const timer = this.#clock.after(expiresMs, onExpired);
     const since = this.#clock.now();
     this.#held.set(grant, {
-      ask,
+      request,
       state: "granted",
       since,
       timer,
@@ -74,7 +74,7 @@
       return false;
     }
     held.timer.cancel();
-    const timer = this.#clock.after(held.ask.remainingMs, onExpired);
+    const timer = this.#clock.after(held.request.remainingMs, onExpired);
     this.#held.set(grant, { ...held, timer });
     return true;
   }
@@ -96,33 +96,33 @@
    */
   take(
     grant: GrantId,
-    overdueMs: (ask: Ask) => number,
+    overdueMs: (request: SlotRequest) => number,
     onOverdue: (since: number) => boolean,
-  ): Ask | undefined {
+  ): SlotRequest | undefined {
     const granted = this.#held.get(grant);
     if (granted?.state !== "granted") {
       return undefined;
     }
     granted.timer.cancel();
-    const { ask, isProbe } = granted;
+    const { request, isProbe } = granted;
     const since = this.#clock.now();
-    const timer = this.#clock.after(overdueMs(ask), () => {
+    const timer = this.#clock.after(overdueMs(request), () => {
       running.isOverdue = onOverdue(since);
     });
-    const running: Held = { ask, state: "running", since, timer, isProbe, isOverdue: false };
+    const running: Held = { request, state: "running", since, timer, isProbe, isOverdue: false };
     this.#held.set(grant, running);
-    return ask;
+    return request;
   }
 
   /** Ends a run; undefined when none is under way. */
-  end(grant: GrantId): { ask: Ask; ms: number; wasOverdue: boolean } | undefined {
+  end(grant: GrantId): { request: SlotRequest; ms: number; wasOverdue: boolean } | undefined {
     const held = this.#held.get(grant);
     if (held?.state !== "running") {
       return undefined;
     }
     held.timer.cancel();
     this.#held.delete(grant);
-    const { ask, since, isOverdue } = held;
-    return { ask, ms: this.#clock.now() - since, wasOverdue: isOverdue };
+    const { request, since, isOverdue } = held;
+    return { request, ms: this.#clock.now() - since, wasOverdue: isOverdue };
   }
 }
--- a/src/sidecar/gate/TargetGates.test.ts
+++ b/src/sidecar/gate/TargetGates.test.ts
@@ -1,19 +1,19 @@
 import test from "ava";
 import bunyan from "bunyan";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { makeTarget } from "../../../test/fixtures/makeTarget.ts";
 import { AttemptId } from "../../common/ids/AttemptId.ts";
 import { GrantId } from "../../common/ids/GrantId.ts";
 import { TargetId } from "../../common/ids/TargetId.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
-import type { Judge } from "../detection/Judge.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
+import type { HealthDetector } from "../detection/HealthDetector.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import { GrantIds } from "./GrantIds.ts";
-import { RunsHere } from "./RunsHere.ts";
+import { ActiveRuns } from "./ActiveRuns.ts";
 import { RunTable } from "./RunTable.ts";
 import { TargetGates } from "./TargetGates.ts";
 import { TargetRunner } from "./TargetRunner.ts";
@@ -26,14 +26,14 @@
   const clock = new FakeClock();
   const beside = [makeTarget("x", { slots: 1, born: 100 })];
   const renewed: number[] = [];
-  const judges: Judge[] = [];
+  const detectors: HealthDetector[] = [];
   const grants = new GrantIds("this process");
   const gates = new TargetGates({
     targets: () => beside,
-    judge: () => {
-      const judge = { ...TrustingJudge };
-      judges.push(judge);
-      return judge;
+    detectorOf: () => {
+      const detector = { ...AlwaysHealthyDetector };
+      detectors.push(detector);
+      return detector;
     },
     clock,
     grants,
@@ -43,7 +43,7 @@
   const runner = new TargetRunner({
     gates,
     runs: new RunTable(clock),
-    here: new RunsHere(clock),
+    here: new ActiveRuns(clock),
     target: () => beside[0],
     send: (_target, { lost }) =>
       new Promise<ForwardResult>((resolve) => {
@@ -63,10 +63,10 @@
     grants,
     log,
   });
-  const replies = new Map<string, AskReply["kind"]>();
+  const replies = new Map<string, SlotReply["kind"]>();
   const given = new Map<string, GrantId>();
   const ask = (attempt: string) =>
-    gates.get(ID)?.ask(makeAsk({ attempt }), (reply) => {
+    gates.get(ID)?.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       replies.set(attempt, reply.kind);
       if (reply.kind === "granted") {
         given.set(attempt, reply.grant);
@@ -81,7 +81,7 @@
     beside[0] = makeTarget("x", { slots: 1, born: 200 });
     gates.targetsChanged();
   };
-  return { gates, judges, renewed, replies, ask, run, startAgain };
+  return { gates, detectors, renewed, replies, ask, run, startAgain };
 }
 
 // Story: a target crashes behind a cut, so that no connection is reset, and starts again under its
@@ -114,9 +114,9 @@
 });
 
 test("gates: a target that starts again is judged afresh", (t) => {
-  const { gates, judges, startAgain } = rig();
+  const { gates, detectors, startAgain } = rig();
   gates.get(ID);
   startAgain();
   gates.get(ID);
-  t.is(judges.length, 2);
+  t.is(detectors.length, 2);
 });
--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -3,7 +3,7 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 import { TargetState } from "../../membership/TargetState.ts";
-import type { Judge } from "../detection/Judge.ts";
+import type { HealthDetector } from "../detection/HealthDetector.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { Gate } from "./Gate.ts";
 import type { GrantIds } from "./GrantIds.ts";
@@ -11,7 +11,7 @@
 interface TargetGatesDeps {
   /** Targets beside this sidecar now. */
   readonly targets: () => readonly TargetInfo[];
-  readonly judge: (target: TargetInfo) => Judge;
+  readonly detectorOf: (target: TargetInfo) => HealthDetector;
   readonly clock: Clock;
   readonly log: bunyan;
   readonly grants: GrantIds;
@@ -107,14 +107,14 @@
   }
 
   #open(target: TargetInfo): Gate {
-    const { clock, grants, judge, targets, log, waitsForCall } = this.#deps;
+    const { clock, grants, detectorOf, targets, log, waitsForCall } = this.#deps;
     const { id, born } = target;
     const gate = new Gate({
       target: () => {
         const now = targets().find((t) => t.id === id && t.born === born);
         return now && { slots: now.slots, takesWork: now.state === TargetState.Ready };
       },
-      judge: judge(target),
+      detector: detectorOf(target),
       waitsForCall,
       onJudged: (load) => {
         this.#deps.onJudged?.(id, load);
--- a/src/sidecar/gate/TargetRunner.test.ts
+++ b/src/sidecar/gate/TargetRunner.test.ts
@@ -1,19 +1,19 @@
 import test from "ava";
 import bunyan from "bunyan";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { makeTarget } from "../../../test/fixtures/makeTarget.ts";
 import { results } from "../../../test/fixtures/results.ts";
 import { AttemptId } from "../../common/ids/AttemptId.ts";
 import { GrantId } from "../../common/ids/GrantId.ts";
 import { TargetId } from "../../common/ids/TargetId.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
-import { RunsHere } from "./RunsHere.ts";
+import { ActiveRuns } from "./ActiveRuns.ts";
 import { RunTable } from "./RunTable.ts";
 import { TargetRunner, type GrantName } from "./TargetRunner.ts";
 
@@ -27,12 +27,12 @@
 
 function rig() {
   const clock = new FakeClock();
-  const here = new RunsHere(clock);
+  const here = new ActiveRuns(clock);
   const noted: AttemptOutcome[] = [];
   const grants = new GrantIds(BOOT);
   const gate = new Gate({
     target: () => ({ slots: 1, takesWork: true }),
-    judge: { ...TrustingJudge, note: (outcome) => noted.push(outcome) },
+    detector: { ...AlwaysHealthyDetector, note: (outcome) => noted.push(outcome) },
     clock,
     grants,
   });
@@ -56,7 +56,7 @@
   /** Has a slot granted; returns how the grant is named. */
   const ask = (): GrantName => {
     let grant = GrantId("none");
-    gate.ask(makeAsk({ attempt }), (reply) => {
+    gate.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       grant = reply.kind === "granted" ? reply.grant : grant;
     });
     return { attempt, target, grant };
--- a/src/sidecar/gate/TargetRunner.ts
+++ b/src/sidecar/gate/TargetRunner.ts
@@ -9,7 +9,7 @@
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import type { Gate } from "./Gate.ts";
 import type { GrantIds } from "./GrantIds.ts";
-import type { RunsHere } from "./RunsHere.ts";
+import type { ActiveRuns } from "./ActiveRuns.ts";
 import type { RunState, RunTable } from "./RunTable.ts";
 import type { TargetGates } from "./TargetGates.ts";
 import { unknownOutcome } from "./unknownOutcome.ts";
@@ -25,7 +25,7 @@
 interface TargetRunnerDeps {
   readonly gates: Pick<TargetGates, "get">;
   readonly runs: RunTable;
-  readonly here: RunsHere;
+  readonly here: ActiveRuns;
   /** One of the targets beside this sidecar. */
   readonly target: (id: TargetId) => TargetInfo | undefined;
   /** Sends a request to the target, at most once under its idempotency key where it has one. */
@@ -126,7 +126,7 @@
    */
   #evidenceOf(
     { outcome }: ForwardResult,
-    here: ReturnType<RunsHere["begin"]>,
+    here: ReturnType<ActiveRuns["begin"]>,
     names: { attempt: AttemptId; target: TargetId },
   ): AttemptOutcome {
     const isFailure = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.TimedOut;
--- a/src/sidecar/gate/LineForecast.test.ts
+++ b/src/sidecar/gate/WaitEstimator.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
-import { AskQueue } from "./AskQueue.ts";
-import { LineForecast } from "./LineForecast.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
+import { SlotRequestQueue } from "./SlotRequestQueue.ts";
+import { WaitEstimator } from "./WaitEstimator.ts";
 
 /** Five slots, half a second a request: a turn every 100 ms. */
 const PACE = { slots: 5, serviceMs: 500 };
@@ -11,12 +11,12 @@
 const WORK_MS = 500;
 
 const onTime = (attempt: string) => ({
-  ask: makeAsk({ attempt, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS }),
+  request: makeSlotRequest({ attempt, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS }),
   askedAt: 0,
 });
 
 const late = (attempt: string) => ({
-  ask: makeAsk({ attempt, objectiveMs: 100, typicalMs: WORK_MS }),
+  request: makeSlotRequest({ attempt, objectiveMs: 100, typicalMs: WORK_MS }),
   askedAt: 0,
 });
 
@@ -105,27 +105,27 @@
 
 for (const { name, callGrants, isCall, waitMs } of callsFirst) {
   test(`line forecast: ${name}`, (t) => {
-    const forecast = new LineForecast();
+    const estimator = new WaitEstimator();
     for (let n = 0; n < 20; n++) {
-      forecast.noteGrant({ isCall: n < callGrants, isLate: false });
+      estimator.noteGrant({ isCall: n < callGrants, isLate: false });
     }
-    const ask = makeAsk({ isCall, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS });
-    const ms = forecast.waitMs({ ask, askedAt: 0 }, new AskQueue(), 0, PACE);
+    const request = makeSlotRequest({ isCall, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS });
+    const ms = estimator.waitMs({ request, askedAt: 0 }, new SlotRequestQueue(), 0, PACE);
     t.is(Math.round(ms), waitMs);
   });
 }
 
 for (const { name, line, lateGrants, who, waitMs } of cases) {
   test(`line forecast: ${name}`, (t) => {
-    const forecast = new LineForecast();
+    const estimator = new WaitEstimator();
     lateGrants.forEach((wasLate) => {
-      forecast.noteGrant({ isCall: false, isLate: wasLate });
+      estimator.noteGrant({ isCall: false, isLate: wasLate });
     });
-    const queue = new AskQueue();
+    const queue = new SlotRequestQueue();
     line.forEach((waiting) => {
       queue.add(waiting);
     });
-    const ms = forecast.waitMs(who, queue, 0, PACE);
+    const ms = estimator.waitMs(who, queue, 0, PACE);
     t.true(ms >= waitMs[0] && ms <= waitMs[1], `${ms} ms`);
   });
 }
--- a/src/sidecar/gate/LineForecast.ts
+++ b/src/sidecar/gate/WaitEstimator.ts
@@ -1,6 +1,6 @@
-import type { AskQueue } from "./AskQueue.ts";
+import type { SlotRequestQueue } from "./SlotRequestQueue.ts";
 import { isLate } from "./isLate.ts";
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Share of the waiting asks that come to run here: the others take another gate's grant. */
 const ASKS_THAT_STAY = 0.5;
@@ -29,7 +29,7 @@
  * slots the others leave: none while more come than can be served, and all once a burst
  * is over. That is told from the shares of each among those who were served last.
  */
-export class LineForecast {
+export class WaitEstimator {
   readonly #granted: Granted[] = [];
 
   /** Notes that an ask was given a slot. */
@@ -41,7 +41,12 @@
   }
 
   /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
-  waitMs(waiting: WaitingAsk, line: AskQueue, now: number, { slots, serviceMs }: Pace): number {
+  waitMs(
+    waiting: QueuedRequest,
+    line: SlotRequestQueue,
+    now: number,
+    { slots, serviceMs }: Pace,
+  ): number {
     const turnMs = serviceMs / Math.max(1, slots);
     const ahead = line.ahead(waiting, now, serviceMs);
     const soonMs = this.#turns(waiting, ahead) * turnMs;
@@ -56,13 +61,13 @@
   }
 
   /** Turns until that of one which is not late, itself included. */
-  #turns({ ask }: WaitingAsk, ahead: readonly WaitingAsk[]): number {
+  #turns({ request }: QueuedRequest, ahead: readonly QueuedRequest[]): number {
     const turns = ahead.length * ASKS_THAT_STAY + 1;
-    if (ask.isCall) {
+    if (request.isCall) {
       return turns;
     }
     // Calls that have not come yet will go before it, too.
-    const own = ahead.filter((w) => !w.ask.isCall).length;
+    const own = ahead.filter((w) => !w.request.isCall).length;
     return Math.max(turns, (own * ASKS_THAT_STAY + 1) / this.#shareOf((g) => !g.isCall));
   }
 
--- a/src/sidecar/gate/goesBefore.ts
+++ b/src/sidecar/gate/goesBefore.ts
@@ -1,5 +1,5 @@
 import { isLate } from "./isLate.ts";
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Head start of each rank of priority over the next, ms: strict priority would leave the lower ranks nothing under load. */
 const RANK_MS = 100;
@@ -17,9 +17,14 @@
  * @param now the gate's clock, ms
  * @param serviceMs how long a request takes here
  */
-export function goesBefore(a: WaitingAsk, b: WaitingAsk, now: number, serviceMs: number): boolean {
-  if (a.ask.isCall !== b.ask.isCall) {
-    return a.ask.isCall;
+export function goesBefore(
+  a: QueuedRequest,
+  b: QueuedRequest,
+  now: number,
+  serviceMs: number,
+): boolean {
+  if (a.request.isCall !== b.request.isCall) {
+    return a.request.isCall;
   }
   const [lateA, lateB] = [isLate(a, now, serviceMs), isLate(b, now, serviceMs)];
   if (lateA !== lateB) {
@@ -29,10 +34,10 @@
   return rankOf(a) < rankOf(b);
 }
 
-function rank({ ask, askedAt }: WaitingAsk): number {
-  return askedAt + ask.objectiveMs + ask.priority * RANK_MS;
+function rank({ request, askedAt }: QueuedRequest): number {
+  return askedAt + request.objectiveMs + request.priority * RANK_MS;
 }
 
-function lateRank({ ask, askedAt }: WaitingAsk): number {
-  return askedAt + ask.priority * LATE_RANK_MS;
+function lateRank({ request, askedAt }: QueuedRequest): number {
+  return askedAt + request.priority * LATE_RANK_MS;
 }
--- a/src/sidecar/gate/isLate.ts
+++ b/src/sidecar/gate/isLate.ts
@@ -1,4 +1,4 @@
-import type { WaitingAsk } from "./WaitingAsk.ts";
+import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /**
  * Whether an ask in line cannot meet its objective any more, even if it starts now.
@@ -6,7 +6,11 @@
  * @param now the gate's clock, ms
  * @param serviceMs how long a request takes here, where its own usual time is not known
  */
-export function isLate({ ask, askedAt }: WaitingAsk, now: number, serviceMs: number): boolean {
-  const workMs = ask.typicalMs > 0 ? ask.typicalMs : serviceMs;
-  return now + workMs > askedAt + ask.objectiveMs;
+export function isLate(
+  { request, askedAt }: QueuedRequest,
+  now: number,
+  serviceMs: number,
+): boolean {
+  const workMs = request.typicalMs > 0 ? request.typicalMs : serviceMs;
+  return now + workMs > askedAt + request.objectiveMs;
 }
--- a/src/sidecar/hop/GateLoad.ts
+++ b/src/sidecar/hop/GateLoad.ts
@@ -10,7 +10,7 @@
   readonly serviceMs: number;
   /** How its answers' times compare with those of its service: 1 is usual, 2 twice as long. */
   readonly pace: number;
-  /** Chance that it fails what it is given now; see Judge. */
+  /** Chance that it fails what it is given now; see HealthDetector. */
   readonly risk: number;
   /** Under suspicion: not for requests that have no other try, while there is another target. */
   readonly suspect: boolean;
--- a/src/sidecar/hop/GateMessages.ts
+++ b/src/sidecar/hop/GateMessages.ts
@@ -1,23 +1,23 @@
 import type { TargetId } from "../../common/ids/TargetId.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import type { RetryCost } from "../routing/RetryCost.ts";
-import type { AskClient } from "./AskClient.ts";
+import type { SlotClient } from "./SlotClient.ts";
 import type { GateLoad } from "./GateLoad.ts";
 import { gateWire } from "./gateWire.ts";
-import type { LoanClient } from "./LoanClient.ts";
+import type { RetryTokenClient } from "./RetryTokenClient.ts";
 
 type GateMessage = ProtoTypes["GateMessage"];
 
 /** For whom messages between sidecars are. */
 interface GateMessagesDeps {
   /** Who asks gates elsewhere for slots. */
-  readonly asks: Pick<AskClient, "receive">;
+  readonly slotClient: Pick<SlotClient, "receive">;
   /** The gates here. */
   readonly gates: { receive(message: GateMessage, from: string): void };
   /** Who chooses targets, and hears how they are thought of. */
-  readonly policy: { noteNews(target: TargetId, load: GateLoad): void };
+  readonly policy: { noteLoad(target: TargetId, load: GateLoad): void };
   /** Who borrows leave for retries, and who lends it. */
-  readonly loans: Pick<LoanClient, "receive">;
+  readonly tokenClient: Pick<RetryTokenClient, "receive">;
   readonly budgets: { lend(costs: readonly RetryCost[]): boolean };
   /** Sends a message that may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
@@ -32,19 +32,19 @@
   }
 
   take(message: GateMessage, from: string): void {
-    const { asks, gates, policy, loans, budgets, tell } = this.#deps;
+    const { slotClient, gates, policy, tokenClient, budgets, tell } = this.#deps;
     const news = gateWire.readNews(message);
     const costs = gateWire.readLoanAsk(message);
     if (costs) {
       tell(from, gateWire.loan(message.ask_id, budgets.lend(costs)));
     } else if (message.loan) {
-      loans.receive(message);
+      tokenClient.receive(message);
     } else if (news) {
-      policy.noteNews(news.target, news.load);
+      policy.noteLoad(news.target, news.load);
     } else if (message.ask || message.withdrawn) {
       gates.receive(message, from);
     } else {
-      asks.receive(message, from);
+      slotClient.receive(message, from);
     }
   }
 }
--- a/src/sidecar/hop/HopClient.test.ts
+++ b/src/sidecar/hop/HopClient.test.ts
@@ -54,7 +54,7 @@
   test(`hop: ${name}`, async (t) => {
     const [address, server] = await open();
     const client = new HopClient({
-      ask: () => ({ answer: new Promise(() => undefined), giveUp: () => undefined }),
+      requestSlot: () => ({ answer: new Promise(() => undefined), giveUp: () => undefined }),
     });
     const err = await t.throwsAsync(client.run(address, req, () => undefined).answer);
     t.is(err instanceof NotSentError, !isSent, err.message);
--- a/src/sidecar/hop/HopClient.ts
+++ b/src/sidecar/hop/HopClient.ts
@@ -3,15 +3,15 @@
 import { isConnectError } from "../../common/http/isConnectError.ts";
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import { readAnswer } from "../forwarding/readAnswer.ts";
-import type { AskClient } from "./AskClient.ts";
-import type { AskReply } from "./AskReply.ts";
+import { readResponse } from "../forwarding/readResponse.ts";
+import type { SlotClient } from "./SlotClient.ts";
+import type { SlotReply } from "./SlotReply.ts";
 import { HOP } from "./HOP.ts";
-import type { GrantOf, HopLink } from "./HopLink.ts";
+import type { GrantRef, HopLink } from "./HopLink.ts";
 import type { HopRequest } from "./HopRequest.ts";
-import { hopAnswer } from "./hopAnswer.ts";
+import { hopResponse } from "./hopResponse.ts";
 import { NotSentError } from "./NotSentError.ts";
-import type { Pending } from "./Pending.ts";
+import type { PendingCall } from "./PendingCall.ts";
 
 /** A connection between sidecars that takes longer to open is given up, ms: across zones it takes 3. */
 const CONNECT_TIMEOUT_MS = 500;
@@ -24,20 +24,20 @@
 
 /** The way to the sidecars beside targets: asks by datagrams, requests by HTTP. */
 export class HopClient implements HopLink, IDisposable {
-  readonly #asks: Pick<AskClient, "ask">;
+  readonly #slotClient: Pick<SlotClient, "requestSlot">;
   readonly #pools = new Map<string, Pool>();
 
-  /** @param asks by which slots are asked for */
-  constructor(asks: Pick<AskClient, "ask">) {
-    this.#asks = asks;
+  /** @param slotClient by which slots are asked for */
+  constructor(slotClient: Pick<SlotClient, "requestSlot">) {
+    this.#slotClient = slotClient;
   }
 
-  ask(...args: Parameters<HopLink["ask"]>): Pending<AskReply> {
-    return this.#asks.ask(...args);
+  requestSlot(...args: Parameters<HopLink["requestSlot"]>): PendingCall<SlotReply> {
+    return this.#slotClient.requestSlot(...args);
   }
 
   /** Sends a request for which a slot was granted. */
-  run(address: string, req: HopRequest, onAlive: OnAlive): Pending<ForwardResult> {
+  run(address: string, req: HopRequest, onAlive: OnAlive): PendingCall<ForwardResult> {
     return this.#start(onAlive, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: req.method,
@@ -53,7 +53,7 @@
   }
 
   /** Asks again for the answer of a run whose connection was lost, over a new one. */
-  join(address: string, grant: GrantOf, onAlive: OnAlive): Pending<ForwardResult> {
+  join(address: string, grant: GrantRef, onAlive: OnAlive): PendingCall<ForwardResult> {
     this.renew(address);
     return this.#start(onAlive, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
@@ -88,7 +88,7 @@
   #start<T>(
     onAlive: OnAlive,
     act: (signal: AbortSignal, onInfo: () => void) => Promise<T>,
-  ): Pending<T> {
+  ): PendingCall<T> {
     const stop = new AbortController();
     const answer = act(stop.signal, onAlive).catch((err: unknown) => {
       throw isConnectError(err) ? new NotSentError(err) : err;
@@ -121,7 +121,7 @@
 /** Whoever asks keeps the time: silence means different things to an ask and to a run. */
 const UNTIMED = { headersTimeout: 0, bodyTimeout: 0 } as const;
 
-function grantHeaders({ attempt, target, grant }: GrantOf): string[] {
+function grantHeaders({ attempt, target, grant }: GrantRef): string[] {
   return [HOP.attempt, attempt, HOP.target, target, HOP.grant, grant];
 }
 
@@ -144,8 +144,8 @@
   headers: Record<string, string | string[] | undefined>,
   body: Readable,
 ): Promise<ForwardResult> {
-  const answer = await readAnswer(body, false);
-  const result = hopAnswer.read(status, headers, answer);
+  const answer = await readResponse(body, false);
+  const result = hopResponse.read(status, headers, answer);
   if (!result) {
     throw new Error(`no sidecar's answer, status ${status}`);
   }
--- a/src/sidecar/hop/HopLink.ts
+++ b/src/sidecar/hop/HopLink.ts
@@ -1,12 +1,12 @@
-import type { Ask } from "./Ask.ts";
-import type { AskReply } from "./AskReply.ts";
+import type { SlotRequest } from "./SlotRequest.ts";
+import type { SlotReply } from "./SlotReply.ts";
 import type { GateLoad } from "./GateLoad.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import type { HopRequest } from "./HopRequest.ts";
-import type { Pending } from "./Pending.ts";
+import type { PendingCall } from "./PendingCall.ts";
 
 /** Names a slot that was granted, or the run that took it. */
-export type GrantOf = Pick<HopRequest, "attempt" | "target" | "grant">;
+export type GrantRef = Pick<HopRequest, "attempt" | "target" | "grant">;
 
 type OnQueued = (load: GateLoad) => void;
 
@@ -16,9 +16,9 @@
    * Asks for a slot, at a target's ask address. `onQueued` is called when the ask waits in line
    * there, with how busy the target is; an ask that gets lost is never answered.
    */
-  ask(address: string, ask: Ask, onQueued: OnQueued): Pending<AskReply>;
+  requestSlot(address: string, request: SlotRequest, onQueued: OnQueued): PendingCall<SlotReply>;
   /** Sends a request for which a slot was granted, to a target's hop address. */
-  run(address: string, req: HopRequest, onAlive: () => void): Pending<ForwardResult>;
+  run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult>;
   /** Asks again for the answer of a run whose connection was lost, over a new one. */
-  join(address: string, grant: GrantOf, onAlive: () => void): Pending<ForwardResult>;
+  join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult>;
 }
--- a/src/sidecar/hop/Pending.ts
+++ b/src/sidecar/hop/PendingCall.ts
@@ -1,5 +1,5 @@
 /** Something asked of another sidecar. */
-export interface Pending<T> {
+export interface PendingCall<T> {
   /** The answer; rejects when the connection is lost, or when given up. */
   readonly answer: Promise<T>;
   /** Ends it from this side; the other side hears of it. */
--- a/src/sidecar/hop/LoanClient.test.ts
+++ b/src/sidecar/hop/RetryTokenClient.test.ts
@@ -2,7 +2,7 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import { gateWire } from "./gateWire.ts";
-import { LoanClient } from "./LoanClient.ts";
+import { RetryTokenClient } from "./RetryTokenClient.ts";
 
 const costs = [
   { service: "reports", n: 1 },
@@ -12,7 +12,7 @@
 function rig() {
   const clock = new FakeClock();
   const told: ProtoTypes["GateMessage"][] = [];
-  const client = new LoanClient({ tell: (_address, message) => told.push(message), clock });
+  const client = new RetryTokenClient({ tell: (_address, message) => told.push(message), clock });
   return { clock, told, client };
 }
 
--- a/src/sidecar/hop/LoanClient.ts
+++ b/src/sidecar/hop/RetryTokenClient.ts
@@ -9,7 +9,7 @@
 /** A sidecar that has not answered by then is passed over, ms: a request waits meanwhile, and there are others. */
 const SILENCE_MS = 40;
 
-interface LoanClientDeps {
+interface RetryTokenClientDeps {
   /** Sends a message that may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
@@ -22,12 +22,12 @@
 }
 
 /** Asks other sidecars by datagrams for leave to retry; a loan whose answer is lost is spent for nothing. */
-export class LoanClient {
-  readonly #deps: LoanClientDeps;
+export class RetryTokenClient {
+  readonly #deps: RetryTokenClientDeps;
   readonly #open = new Map<number, OpenLoan>();
   #nextId = 1;
 
-  constructor(deps: LoanClientDeps) {
+  constructor(deps: RetryTokenClientDeps) {
     this.#deps = deps;
   }
 
--- a/src/sidecar/hop/AskClient.test.ts
+++ b/src/sidecar/hop/SlotClient.test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { granted, idleLoad, refused } from "../../../test/fixtures/FakeHop.ts";
-import { makeAsk } from "../../../test/fixtures/makeAsk.ts";
+import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
-import { AskClient } from "./AskClient.ts";
-import type { AskReply } from "./AskReply.ts";
+import { SlotClient } from "./SlotClient.ts";
+import type { SlotReply } from "./SlotReply.ts";
 import { gateWire } from "./gateWire.ts";
 
 const GATE = "10.0.0.1:7000";
@@ -13,14 +13,14 @@
 function rig() {
   const clock = new FakeClock();
   const told: ProtoTypes["GateMessage"][] = [];
-  const client = new AskClient({ tell: (_address, message) => told.push(message), clock });
+  const client = new SlotClient({ tell: (_address, message) => told.push(message), clock });
   let queued = 0;
-  const ask = () => client.ask(GATE, makeAsk(), () => (queued += 1));
+  const ask = () => client.requestSlot(GATE, makeSlotRequest(), () => (queued += 1));
   const kinds = () => told.map((m) => (m.ask ? "ask" : m.withdrawn ? "withdrawn" : "other"));
   return { clock, client, told, ask, kinds, queued: () => queued };
 }
 
-const replies: readonly { name: string; reply: AskReply }[] = [
+const replies: readonly { name: string; reply: SlotReply }[] = [
   { name: "a grant", reply: granted },
   { name: "a refusal", reply: refused() },
 ];
--- a/src/sidecar/hop/AskClient.ts
+++ b/src/sidecar/hop/SlotClient.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
-import type { Ask } from "./Ask.ts";
-import type { AskReply } from "./AskReply.ts";
+import type { SlotRequest } from "./SlotRequest.ts";
+import type { SlotReply } from "./SlotReply.ts";
 import type { GateLoad } from "./GateLoad.ts";
 import { gateWire } from "./gateWire.ts";
-import type { Pending } from "./Pending.ts";
+import type { PendingCall } from "./PendingCall.ts";
 
 type GateMessage = ProtoTypes["GateMessage"];
 
@@ -18,7 +18,7 @@
 /** A grant may be told of again for this long, ms: twice, and over a slow path. */
 const TOLD_AGAIN_MS = 2000;
 
-interface AskClientDeps {
+interface SlotClientDeps {
   /** Sends a message that may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
@@ -27,7 +27,7 @@
 /** An ask of which the last word has not come. */
 interface OpenAsk {
   readonly onQueued: (load: GateLoad) => void;
-  readonly settle: (reply: AskReply) => void;
+  readonly settle: (reply: SlotReply) => void;
   timer: Timer | undefined;
 }
 
@@ -36,23 +36,27 @@
  * are as HTTP, and none waits for a connection to open. Lost ones are sent again, or do no harm: a
  * grant that nobody waits for any more is given back.
  */
-export class AskClient {
-  readonly #deps: AskClientDeps;
+export class SlotClient {
+  readonly #deps: SlotClientDeps;
   readonly #open = new Map<number, OpenAsk>();
   /** Asks whose grants were passed on lately. */
   readonly #granted = new Set<number>();
   #nextId = 1;
 
-  constructor(deps: AskClientDeps) {
+  constructor(deps: SlotClientDeps) {
     this.#deps = deps;
   }
 
-  /** Asks the gate at `address`; see {@link HopLink.ask}. */
-  ask(address: string, ask: Ask, onQueued: OpenAsk["onQueued"]): Pending<AskReply> {
+  /** Asks the gate at `address`; see {@link HopLink.requestSlot}. */
+  requestSlot(
+    address: string,
+    request: SlotRequest,
+    onQueued: OpenAsk["onQueued"],
+  ): PendingCall<SlotReply> {
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
-    const message = gateWire.ask(id, ask);
-    const answer = new Promise<AskReply>((settle) => {
+    const message = gateWire.ask(id, request);
+    const answer = new Promise<SlotReply>((settle) => {
       this.#open.set(id, { onQueued, settle, timer: undefined });
     });
     this.#send(id, address, message, 1);
@@ -84,7 +88,7 @@
   }
 
   /** A gate tells of a grant again until it is taken; given back then, the request would come in vain. */
-  #rememberGrant(id: number, { kind }: AskReply): void {
+  #rememberGrant(id: number, { kind }: SlotReply): void {
     if (kind === "granted") {
       this.#granted.add(id);
       this.#deps.clock.after(TOLD_AGAIN_MS, () => {
--- a/src/sidecar/hop/AskReply.ts
+++ b/src/sidecar/hop/SlotReply.ts
@@ -2,8 +2,8 @@
 import type { GateLoad } from "./GateLoad.ts";
 import type { RefusalReason } from "./RefusalReason.ts";
 
-/** The answer to an {@link Ask}. */
-export type AskReply =
+/** The answer to a {@link SlotRequest}. */
+export type SlotReply =
   | {
       readonly kind: "granted";
       readonly grant: GrantId;
--- a/src/sidecar/hop/Ask.ts
+++ b/src/sidecar/hop/SlotRequest.ts
@@ -6,7 +6,7 @@
  * there. Asking is free of effect: nothing runs before the slot that was granted is
  * taken, so it may ask several at once, and again after silence.
  */
-export interface Ask {
+export interface SlotRequest {
   readonly attempt: AttemptId;
   /** The target that is asked for; another one may be there by now. */
   readonly target: TargetId;
--- a/src/sidecar/hop/gateWire.ts
+++ b/src/sidecar/hop/gateWire.ts
@@ -3,8 +3,8 @@
 import { TargetId } from "../../common/ids/TargetId.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import type { RetryCost } from "../routing/RetryCost.ts";
-import type { Ask } from "./Ask.ts";
-import type { AskReply } from "./AskReply.ts";
+import type { SlotRequest } from "./SlotRequest.ts";
+import type { SlotReply } from "./SlotReply.ts";
 import type { GateLoad } from "./GateLoad.ts";
 import { RefusalReason } from "./RefusalReason.ts";
 
@@ -26,21 +26,21 @@
 
 /** What gates and those who ask them say to each other, to and from datagrams. */
 export const gateWire = {
-  ask: (id: number, ask: Ask): GateMessage => ({
+  ask: (id: number, request: SlotRequest): GateMessage => ({
     ...NOTHING,
     ask_id: id,
     ask: {
-      attempt: ask.attempt,
-      target: ask.target,
-      expendable: ask.isExpendable,
-      call: ask.isCall,
-      pressed: ask.isPressed,
-      priority: ask.priority,
-      remaining: Math.max(1, Math.round(ask.remainingMs)),
-      objective: Math.round(ask.objectiveMs),
-      typical: Math.round(ask.typicalMs),
-      body: ask.bodyBytes,
-      accepts_risk: Math.round(ask.acceptsRisk * 1000),
+      attempt: request.attempt,
+      target: request.target,
+      expendable: request.isExpendable,
+      call: request.isCall,
+      pressed: request.isPressed,
+      priority: request.priority,
+      remaining: Math.max(1, Math.round(request.remainingMs)),
+      objective: Math.round(request.objectiveMs),
+      typical: Math.round(request.typicalMs),
+      body: request.bodyBytes,
+      accepts_risk: Math.round(request.acceptsRisk * 1000),
     },
   }),
 
@@ -52,7 +52,7 @@
 
   withdrawn: (id: number): GateMessage => ({ ...NOTHING, ask_id: id, withdrawn: true }),
 
-  reply: (id: number, reply: AskReply): GateMessage => ({
+  reply: (id: number, reply: SlotReply): GateMessage => ({
     ...NOTHING,
     ask_id: id,
     reply: {
@@ -83,7 +83,7 @@
     asked?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
 
   /** Undefined where it is not an ask that can be answered. */
-  readAsk: ({ ask }: GateMessage): Ask | undefined =>
+  readAsk: ({ ask }: GateMessage): SlotRequest | undefined =>
     ask && ask.attempt !== "" && ask.target !== "" && ask.remaining > 0
       ? {
           attempt: AttemptId(ask.attempt),
@@ -105,7 +105,7 @@
     queued ? decodeLoad(queued) : undefined,
 
   /** Undefined where it is no reply. */
-  readReply: ({ reply }: GateMessage): AskReply | undefined => {
+  readReply: ({ reply }: GateMessage): SlotReply | undefined => {
     if (!reply?.load) {
       return undefined;
     }
--- a/src/sidecar/hop/hopAnswer.ts
+++ b/src/sidecar/hop/hopResponse.ts
@@ -12,7 +12,7 @@
 const OWN_HEADERS = new Set<string>(Object.values(HOP));
 
 /** The result of a run, to and from the headers in which it crosses between sidecars. */
-export const hopAnswer = {
+export const hopResponse = {
   /** The headers that say how a run ended, besides those of its answer. */
   headersOf(out: ForwardResult): Record<string, string> {
     const { verdict } = out;
@@ -71,7 +71,7 @@
     headers: IncomingHttpHeaders,
     answer: { readonly body: Buffer | Readable; readonly ended?: Promise<AttemptOutcome> },
   ): ForwardResult | undefined {
-    const verdict = hopAnswer.verdictOf(status, headers);
+    const verdict = hopResponse.verdictOf(status, headers);
     const outcome = toOutcome(headers[HOP.outcome]);
     const calls = decodeCalls(headers[HOP.calls]);
     if (verdict?.kind === "done") {
--- a/src/sidecar/ingress/CallerServer.test.ts
+++ b/src/sidecar/ingress/CallerServer.test.ts
@@ -13,7 +13,7 @@
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import { ownDialect } from "../dialect/ownDialect.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import type { CourseRequest } from "../routing/CourseRequest.ts";
+import type { CallerRequest } from "../routing/CallerRequest.ts";
 import type { RouteIndex } from "../routing/RouteIndex.ts";
 import { RequestOrigin } from "../routing/RequestOrigin.ts";
 import { CallerServer } from "./CallerServer.ts";
@@ -34,7 +34,7 @@
 
 /** A caller server whose requests are settled by the test, by their paths, and one connection to it. */
 async function open(t: ExecutionContext, limits: Partial<Limits> = {}) {
-  const courses = new Map<string, { req: CourseRequest; settle: (out: ForwardResult) => void }>();
+  const courses = new Map<string, { req: CallerRequest; settle: (out: ForwardResult) => void }>();
   const route = makeRoute();
   const server = new CallerServer({
     originOf: () => RequestOrigin.Unknown,
--- a/src/sidecar/ingress/CallerServer.ts
+++ b/src/sidecar/ingress/CallerServer.ts
@@ -16,7 +16,7 @@
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
 import { withHeaders } from "../forwarding/withHeaders.ts";
 import { HOP } from "../hop/HOP.ts";
-import type { CourseRequest } from "../routing/CourseRequest.ts";
+import type { CallerRequest } from "../routing/CallerRequest.ts";
 import type { Dispatcher } from "../routing/Dispatcher.ts";
 import type { RequestOrigin } from "../routing/RequestOrigin.ts";
 import type { RouteIndex } from "../routing/RouteIndex.ts";
@@ -188,7 +188,7 @@
     served: Served,
     route: RouteMatch,
     opened: Awaited<ReturnType<typeof openBody>>,
-    due: Pick<CourseRequest, "startedAt" | "deadlineAt" | "left">,
+    due: Pick<CallerRequest, "startedAt" | "deadlineAt" | "left">,
   ): Promise<void> {
     if (opened.kind === "too-large") {
       this.#refuse(served, "request body too large", 413);
--- a/src/sidecar/records/OnceRunner.test.ts
+++ b/src/sidecar/records/AtMostOnceRunner.test.ts
@@ -7,7 +7,7 @@
 import { chooseRecordGroup } from "./chooseRecordGroup.ts";
 import type { ClaimReply } from "./ClaimReply.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import { OnceRunner } from "./OnceRunner.ts";
+import { AtMostOnceRunner } from "./AtMostOnceRunner.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import type { RecordPeer } from "./RecordPeer.ts";
 import { RunRecords } from "./RunRecords.ts";
@@ -91,7 +91,7 @@
 /** A runner over `pool` whose target gives `answers` in turn, then the last for ever. */
 function runnerOver(pool: readonly FakeReplica[], ...answers: ForwardResult[]) {
   const sent = { count: 0 };
-  const runner = new OnceRunner({
+  const runner = new AtMostOnceRunner({
     clock: SystemClock,
     group: (key) => chooseRecordGroup(key, pool),
     send: () => {
@@ -144,7 +144,7 @@
 test("a resend while the first is running is told so, and not run", async (t) => {
   const pool = replicas(5);
   let finish: (out: ForwardResult) => void = () => undefined;
-  const slow = new OnceRunner({
+  const slow = new AtMostOnceRunner({
     clock: SystemClock,
     group: (key) => chooseRecordGroup(key, pool),
     send: () => new Promise((resolve) => (finish = resolve)),
--- a/src/sidecar/records/OnceRunner.ts
+++ b/src/sidecar/records/AtMostOnceRunner.ts
@@ -7,7 +7,7 @@
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
-import { OutcomeKeeper } from "./OutcomeKeeper.ts";
+import { OutcomeReplicator } from "./OutcomeReplicator.ts";
 import type { RecordPeer } from "./RecordPeer.ts";
 import type { RunRecord } from "./RunRecord.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
@@ -19,7 +19,7 @@
 const CLAIM_GRACE_MS = 500;
 
 /** What the runner needs from the rest of the sidecar; passed in so tests can fake each. */
-interface OnceRunnerDeps {
+interface AtMostOnceRunnerDeps {
   /** The replicas that keep the record of a key. */
   readonly group: (key: string) => readonly RecordPeer[];
   readonly send: (target: TargetInfo, req: TargetRequest) => Promise<ForwardResult>;
@@ -43,13 +43,13 @@
  * changes ("Comdb2", section on transaction replay); here targets are not
  * ours, so the record is kept beside them, by several sidecars.
  */
-export class OnceRunner {
-  readonly #deps: OnceRunnerDeps;
-  readonly #outcomes: OutcomeKeeper;
+export class AtMostOnceRunner {
+  readonly #deps: AtMostOnceRunnerDeps;
+  readonly #outcomes: OutcomeReplicator;
 
-  constructor(deps: OnceRunnerDeps) {
+  constructor(deps: AtMostOnceRunnerDeps) {
     this.#deps = deps;
-    this.#outcomes = new OutcomeKeeper(deps.clock);
+    this.#outcomes = new OutcomeReplicator(deps.clock);
   }
 
   /** Runs `req`, whose idempotency key is `key`, at `target`; always resolves. */
--- a/src/sidecar/records/OutcomeKeeper.test.ts
+++ b/src/sidecar/records/OutcomeReplicator.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import { OutcomeKeeper } from "./OutcomeKeeper.ts";
+import { OutcomeReplicator } from "./OutcomeReplicator.ts";
 import type { RecordPeer } from "./RecordPeer.ts";
 import type { RunRecord } from "./RunRecord.ts";
 
@@ -41,7 +41,7 @@
   const clock = new FakeClock();
   const slow = keeper(clock, "slow", 0, 300);
   const group = [1, 2, 3, 4].map((n) => keeper(clock, `k${n}`, 0, 10 * n));
-  const outcomes = new OutcomeKeeper(clock);
+  const outcomes = new OutcomeReplicator(clock);
   let isKept = false;
   const all = [...group, slow].map((k) => k.peer);
   void outcomes.keep(all, "key", "a1", outcome).then(() => (isKept = true));
@@ -59,7 +59,7 @@
   const deaf = keeper(clock, "deaf", 3);
   const sound = keeper(clock, "sound");
   await Promise.all([
-    new OutcomeKeeper(clock).keep([deaf.peer, sound.peer], "key", "a1", outcome),
+    new OutcomeReplicator(clock).keep([deaf.peer, sound.peer], "key", "a1", outcome),
     clock.advance(10_000),
   ]);
   t.deepEqual(deaf.settled, [outcome]);
@@ -72,7 +72,7 @@
   const sound = keeper(clock, "sound");
   let isKept = false;
   const group = [...gone, sound].map((k) => k.peer);
-  void new OutcomeKeeper(clock).keep(group, "key", "a1", outcome).then(() => (isKept = true));
+  void new OutcomeReplicator(clock).keep(group, "key", "a1", outcome).then(() => (isKept = true));
   await clock.advance(400);
   t.true(isKept);
   await clock.advance(60_000);
--- a/src/sidecar/records/OutcomeKeeper.ts
+++ b/src/sidecar/records/OutcomeReplicator.ts
@@ -10,7 +10,7 @@
 const RETRIES = 6;
 
 /** Tells the keepers of a key how the attempt under it ended. */
-export class OutcomeKeeper {
+export class OutcomeReplicator {
   readonly #clock: Clock;
 
   constructor(clock: Clock) {
--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -7,15 +7,15 @@
 import type { TargetTable } from "../../membership/TargetTable.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import { LatencyBaseline } from "../detection/LatencyBaseline.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { runRoomMs } from "../gate/runRoomMs.ts";
 import { chooseRotation } from "./chooseRotation.ts";
 import { pickByCost } from "./pickByCost.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
-import { TargetStandings, type Standing } from "./TargetStandings.ts";
-import { ZoneWaits } from "./ZoneWaits.ts";
-import type { Picked, PickFor, RoutingPolicy, Suspected } from "./RoutingPolicy.ts";
+import { TargetViews, type TargetView } from "./TargetViews.ts";
+import { ZoneWaitEstimator } from "./ZoneWaitEstimator.ts";
+import type { PickedTarget, PickContext, RoutingPolicy, SuspectTarget } from "./RoutingPolicy.ts";
 
 /** Assumed time of a request where nothing was measured: this share of its objective. */
 const TYPICAL_SHARE = 1 / 3;
@@ -56,11 +56,11 @@
 /** A target that may be asked, and what is known of it. */
 interface Candidate {
   readonly target: TargetInfo;
-  readonly standing: Standing;
+  readonly view: TargetView;
 }
 
 /** One look at the targets, for one request. */
-interface Look extends PickFor {
+interface Look extends PickContext {
   readonly now: number;
   /** What requests of the route usually take, ms. */
   readonly typicalMs: number;
@@ -82,21 +82,21 @@
  */
 export class AdaptivePolicy implements RoutingPolicy {
   readonly #deps: AdaptivePolicyDeps;
-  readonly #standings: TargetStandings;
+  readonly #views: TargetViews;
   readonly #baselines = new Map<string, LatencyBaseline>();
   /** How long requests waited for a slot lately, on average, by services' names, ms. */
   readonly #waits = new Map<string, number>();
-  readonly #zoneWaits: ZoneWaits;
+  readonly #zoneWaits: ZoneWaitEstimator;
   /** Floors of services by their names, as of the last request. */
   readonly #floors = new Map<string, number>();
 
   constructor(deps: AdaptivePolicyDeps) {
     this.#deps = deps;
-    this.#standings = new TargetStandings(deps);
-    this.#zoneWaits = new ZoneWaits(deps.clock);
+    this.#views = new TargetViews(deps);
+    this.#zoneWaits = new ZoneWaitEstimator(deps.clock);
   }
 
-  pick(request: PickFor, tried: ReadonlySet<TargetId>): Picked | undefined {
+  pick(request: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined {
     const look = this.#look(request);
     const open = this.#open(look, tried);
     const { random } = this.#deps;
@@ -106,7 +106,7 @@
       return { target: probed.target, isProbe: true };
     }
     const well = open.filter((c) => !this.#isSuspected(look, c));
-    const reachable = well.filter((c) => !c.standing.link.isSuspect);
+    const reachable = well.filter((c) => !c.view.link.isSuspect);
     const best = reachable.length > 0 ? reachable : well;
     const near = this.#near(look, best);
     const tier = near.length > 0 ? near : best;
@@ -114,10 +114,10 @@
     return picked && { target: picked.target };
   }
 
-  suspected(request: PickFor, tried: ReadonlySet<TargetId>): Suspected[] {
+  suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[] {
     const look = this.#look(request);
     const suspected = this.#open(look, tried).filter(
-      (c) => this.#isSuspected(look, c) && !c.standing.link.isSuspect,
+      (c) => this.#isSuspected(look, c) && !c.view.link.isSuspect,
     );
     if (suspected.length === 0) {
       return [];
@@ -133,16 +133,16 @@
       .sort((a, b) => a.risk - b.risk);
   }
 
-  noteReply(target: TargetInfo, reply: AskReply, ms: number | undefined): void {
-    const standing = this.#standings.of(target);
-    this.#noteLoad(target, standing, reply.load);
+  noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void {
+    const view = this.#views.of(target);
+    this.#noteLoad(target, view, reply.load);
     if (ms !== undefined) {
-      standing.link.noteAnswer(ms);
+      view.link.noteAnswer(ms);
     }
   }
 
   noteQueued(target: TargetInfo, load: GateLoad): void {
-    this.#noteLoad(target, this.#standings.of(target), load);
+    this.#noteLoad(target, this.#views.of(target), load);
   }
 
   noteWait({ service }: RouteMatch, waitedMs: number): void {
@@ -155,24 +155,24 @@
   }
 
   /** A gate tells how its target is thought of, without having been asked. */
-  noteNews(id: TargetId, load: GateLoad): void {
-    const standing = this.#standings.known(id);
-    if (standing) {
-      this.#standings.noteLoad(standing, load);
+  noteLoad(id: TargetId, load: GateLoad): void {
+    const view = this.#views.known(id);
+    if (view) {
+      this.#views.noteLoad(view, load);
     }
   }
 
-  noteSilence(target: TargetInfo): void {
-    this.#standings.of(target).link.noteSilence();
+  noteTimeout(target: TargetInfo): void {
+    this.#views.of(target).link.noteSilence();
   }
 
   begin(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
     const { clock } = this.#deps;
-    const standing = this.#standings.of(target);
+    const view = this.#views.of(target);
     const startedAt = clock.now();
-    standing.outstanding += 1;
+    view.outstanding += 1;
     return (outcome) => {
-      standing.outstanding -= 1;
+      view.outstanding -= 1;
       if (outcome === AttemptOutcome.Ok) {
         this.#baseline(route).add(clock.now() - startedAt);
       }
@@ -196,11 +196,11 @@
   }
 
   dispose(): void {
-    this.#standings.clear();
+    this.#views.clear();
   }
 
-  #noteLoad({ service, zone }: TargetInfo, standing: Standing, load: GateLoad): void {
-    this.#standings.noteLoad(standing, load);
+  #noteLoad({ service, zone }: TargetInfo, view: TargetView, load: GateLoad): void {
+    this.#views.noteLoad(view, load);
     this.#zoneWaits.note(service, zone, waitAt(load, load.serviceMs));
   }
 
@@ -211,7 +211,7 @@
     const open: Candidate[] = [];
     for (const target of this.#targetsOf(route)) {
       if (target.state === TargetState.Ready && !tried.has(target.id)) {
-        const candidate = { target, standing: this.#standings.of(target) };
+        const candidate = { target, view: this.#views.of(target) };
         if (!endsTooSoon(look, candidate)) {
           open.push(candidate);
         }
@@ -220,29 +220,29 @@
     return open;
   }
 
-  #look(request: PickFor): Look {
+  #look(request: PickContext): Look {
     const typicalMs = this.typicalMs(request.route);
     return { ...request, now: this.#deps.clock.now(), typicalMs };
   }
 
   /** Known to be gray; or only under suspicion, for a request that has no other try. */
-  #isSuspected({ now, isExpendable }: Look, { standing }: Candidate): boolean {
-    const judged = this.#standings.judged(standing, now);
+  #isSuspected({ now, isExpendable }: Look, { view }: Candidate): boolean {
+    const judged = this.#views.judged(view, now);
     return judged !== undefined && (judged.ejected || (judged.suspect && !isExpendable));
   }
 
-  #isGray({ now }: Pick<Look, "now">, { standing }: Candidate): boolean {
-    return this.#standings.judged(standing, now)?.ejected ?? false;
+  #isGray({ now }: Pick<Look, "now">, { view }: Candidate): boolean {
+    return this.#views.judged(view, now)?.ejected ?? false;
   }
 
-  #riskOf({ now }: Pick<Look, "now">, { standing }: Candidate): number {
-    return this.#standings.judged(standing, now)?.risk ?? 0;
+  #riskOf({ now }: Pick<Look, "now">, { view }: Candidate): number {
+    return this.#views.judged(view, now)?.risk ?? 0;
   }
 
   /** Targets that an expendable request would tell something of. */
   #toProbe({ now, route }: Look, open: readonly Candidate[]): Candidate[] {
     const share = this.isPressed(route) ? PRESSED_SHARE : 1;
-    return open.filter(({ standing: { load, loadAt, link } }) => {
+    return open.filter(({ view: { load, loadAt, link } }) => {
       const age = now - loadAt;
       const inMs = (load?.probeInMs ?? Infinity) * share;
       return inMs <= age && age < PROBE_FRESH_MS && !link.isSuspect;
@@ -252,7 +252,7 @@
   #rotation(targets: readonly TargetInfo[], floor: number): Set<TargetId> {
     const now = this.#deps.clock.now();
     const judged = targets.map((target) => {
-      const candidate = { target, standing: this.#standings.of(target) };
+      const candidate = { target, view: this.#views.of(target) };
       return {
         id: target.id,
         slots: target.slots,
@@ -274,36 +274,36 @@
     const unheardMs = look.route.bulk ? BULK_PATIENCE_MS : UNHEARD_PATIENCE_MS;
     const heardMs = look.route.bulk ? BULK_PATIENCE_MS : 0;
     return candidates.filter((c) => {
-      const patienceMs = this.#standings.freshLoad(c.standing, look.now) ? heardMs : unheardMs;
+      const patienceMs = this.#views.freshLoad(c.view, look.now) ? heardMs : unheardMs;
       return c.target.zone === zone && this.#waitMs(look, c) <= patienceMs;
     });
   }
 
   /** Expected time to the answer, ms; more for a target that has just come, so that nobody stampedes to it. */
   #cost(look: Look, candidate: Candidate): number {
-    const { target, standing } = candidate;
-    const load = this.#standings.freshLoad(standing, look.now);
-    const busy = ((load?.busy ?? 0) + standing.outstanding) / Math.max(1, target.slots);
+    const { target, view } = candidate;
+    const load = this.#views.freshLoad(view, look.now);
+    const busy = ((load?.busy ?? 0) + view.outstanding) / Math.max(1, target.slots);
     const workMs = look.typicalMs * (load?.pace ?? 1) * (1 + busy);
     const riskMs = look.isExpendable ? 0 : this.#riskOf(look, candidate) * RISK_MS;
-    const total = this.#waitMs(look, candidate) + workMs + standing.link.answerMs + riskMs;
-    return total / this.#weight(look.route, standing);
+    const total = this.#waitMs(look, candidate) + workMs + view.link.answerMs + riskMs;
+    return total / this.#weight(look.route, view);
   }
 
-  #waitMs(look: Look, { target, standing }: Candidate): number {
-    const load = this.#standings.freshLoad(standing, look.now);
+  #waitMs(look: Look, { target, view }: Candidate): number {
+    const load = this.#views.freshLoad(view, look.now);
     return load
       ? waitAt(load, load.serviceMs > 0 ? load.serviceMs : look.typicalMs)
       : this.#zoneWaits.expectedMs(target.service, target.zone);
   }
 
-  #weight(route: RouteMatch, standing: Standing): number {
-    const share = (this.#deps.clock.now() - standing.seenAt) / route.service.detection.rampMs;
+  #weight(route: RouteMatch, view: TargetView): number {
+    const share = (this.#deps.clock.now() - view.seenAt) / route.service.detection.rampMs;
     return Math.min(1, RAMP_START + (1 - RAMP_START) * share);
   }
 
   #targetsOf(route: RouteMatch): readonly TargetInfo[] {
-    this.#standings.forgetGone();
+    this.#views.forgetGone();
     return this.#deps.table.targetsOf(ServiceName(route.service.name));
   }
 
@@ -318,8 +318,8 @@
 }
 
 /** The sidecar beside the target is being stopped, and ends before the request would; one that has ended may be back. */
-function endsTooSoon({ now, typicalMs, isExpendable }: Look, { standing }: Candidate): boolean {
-  const { load, loadAt } = standing;
+function endsTooSoon({ now, typicalMs, isExpendable }: Look, { view }: Candidate): boolean {
+  const { load, loadAt } = view;
   if (load?.endsInMs === undefined) {
     return false;
   }
--- a/src/sidecar/routing/CourseRequest.ts
+++ b/src/sidecar/routing/CallerRequest.ts
@@ -4,7 +4,7 @@
 import type { HeaderList } from "../forwarding/HeaderList.ts";
 
 /** A caller's request on its way to a target. */
-export interface CourseRequest {
+export interface CallerRequest {
   readonly attempt: AttemptId;
   readonly method: string;
   readonly path: string;
--- a/src/sidecar/routing/Dispatcher.test.ts
+++ b/src/sidecar/routing/Dispatcher.test.ts
@@ -3,15 +3,15 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { FakeHop, granted, refused } from "../../../test/fixtures/FakeHop.ts";
 import { FixedPolicy } from "../../../test/fixtures/FixedPolicy.ts";
-import { makeCourse } from "../../../test/fixtures/makeCourse.ts";
+import { makeCallerRequest } from "../../../test/fixtures/makeCallerRequest.ts";
 import { makeRoute } from "../../../test/fixtures/makeRoute.ts";
 import { makeTarget } from "../../../test/fixtures/makeTarget.ts";
 import { results } from "../../../test/fixtures/results.ts";
 import { NotSentError } from "../hop/NotSentError.ts";
-import { RunsHere } from "../gate/RunsHere.ts";
+import { ActiveRuns } from "../gate/ActiveRuns.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import { CallTraffic } from "./CallTraffic.ts";
+import { TrafficClassifier } from "./TrafficClassifier.ts";
 import { Dispatcher } from "./Dispatcher.ts";
 import { RequestOrigin } from "./RequestOrigin.ts";
 import { RetryBudgets } from "./RetryBudgets.ts";
@@ -29,7 +29,7 @@
   const clock = new FakeClock();
   const hop = new FakeHop();
   const policy = new FixedPolicy(known);
-  const runs = new RunsHere(clock);
+  const runs = new ActiveRuns(clock);
   const dispatcher = new Dispatcher({
     policy,
     hop,
@@ -42,8 +42,8 @@
       random: () => 0,
     }),
     isStarting,
-    loans: { borrow },
-    calls: new CallTraffic({ runs, log }),
+    borrower: { borrow },
+    calls: new TrafficClassifier({ runs, log }),
     clock,
     log,
   });
@@ -132,7 +132,10 @@
     const { hop, dispatcher } = rig();
     const answers = [...c.answers];
     hop.onRun = () => answers.shift() ?? shed;
-    const out = await dispatcher.dispatch(makeRoute({ idempotent: c.idempotent }), makeCourse());
+    const out = await dispatcher.dispatch(
+      makeRoute({ idempotent: c.idempotent }),
+      makeCallerRequest(),
+    );
     const sentTo = hop.runs.map((r) => r.address);
     t.is(sentTo.length, c.sends);
     t.is(new Set(sentTo).size, sentTo.length, "each retry goes to another target");
@@ -150,7 +153,7 @@
   test(`dispatch: ${c.name} is not-run at once, and nothing is sent`, async (t) => {
     const { hop, dispatcher, clock } = rig(100, c.known ? targets : []);
     hop.onAsk = c.onAsk;
-    const out = await dispatcher.dispatch(makeRoute(), makeCourse());
+    const out = await dispatcher.dispatch(makeRoute(), makeCallerRequest());
     t.is(hop.runs.length, 0);
     t.is(out.verdict.kind, "not-run");
     t.is(clock.now(), 0);
@@ -164,7 +167,7 @@
   const { hop, dispatcher, clock } = rig();
   hop.onAsk = () => undefined;
   hop.onRun = () => done;
-  const out = dispatcher.dispatch(makeRoute(), makeCourse());
+  const out = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await clock.advance(5);
   hop.asks[0]?.call.onAlive();
   await clock.advance(200);
@@ -182,7 +185,7 @@
   // Story: a target takes a lookup and hangs. The clerk must not wait for the timeout.
   const { hop, dispatcher, clock } = rig();
   hop.onRun = (address) => (address === "a" ? undefined : done);
-  const out = dispatcher.dispatch(makeRoute(), makeCourse());
+  const out = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await clock.advance(100);
   hop.runs[0]?.call.onAlive();
   await clock.advance(200);
@@ -196,7 +199,7 @@
 
 test("dispatch: a booking is never sent to a second target beside the first", async (t) => {
   const { hop, dispatcher, clock } = rig();
-  const out = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCourse());
+  const out = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   for (let i = 0; i < 5; i++) {
     await clock.advance(250);
     hop.runs[0]?.call.onAlive();
@@ -211,7 +214,7 @@
   const { hop, dispatcher } = rig(0, targets.slice(0, 1));
   const answers = [expired, expired, done];
   hop.onRun = () => answers.shift() ?? shed;
-  const out = await dispatcher.dispatch(makeRoute({ idempotent: false }), makeCourse());
+  const out = await dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   t.is(out.verdict.kind, "done");
   t.is(hop.runs.length, 3);
 });
@@ -221,7 +224,7 @@
   const { hop, dispatcher } = rig(0);
   hop.onRun = () => failed;
   for (let i = 0; i < 40; i++) {
-    await dispatcher.dispatch(makeRoute({ budgetRatio: 0.1 }), makeCourse());
+    await dispatcher.dispatch(makeRoute({ budgetRatio: 0.1 }), makeCallerRequest());
   }
   t.true(hop.runs.length <= 40 + 5, `${hop.runs.length} sends of 40 requests`);
 });
@@ -230,7 +233,7 @@
   const { hop, dispatcher, clock } = rig();
   hop.onAsk = () => undefined;
   const leave = new AbortController();
-  const out = dispatcher.dispatch(makeRoute(), makeCourse({ left: leave.signal }));
+  const out = dispatcher.dispatch(makeRoute(), makeCallerRequest({ left: leave.signal }));
   await clock.advance(20);
   leave.abort();
   t.is((await out).verdict.kind, "not-run");
@@ -243,14 +246,14 @@
   // the end of its grace their connections were closed without a word, and no caller knew
   // that nothing had run.
   const { hop, dispatcher } = rig();
-  const running = dispatcher.dispatch(makeRoute(), makeCourse());
+  const running = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
   hop.onAsk = () => undefined;
-  const inLine = dispatcher.dispatch(makeRoute(), makeCourse());
+  const inLine = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
   dispatcher.close();
   t.is((await inLine).verdict.kind, "not-run");
-  t.is((await dispatcher.dispatch(makeRoute(), makeCourse())).verdict.kind, "not-run");
+  t.is((await dispatcher.dispatch(makeRoute(), makeCallerRequest())).verdict.kind, "not-run");
   hop.runs[0]?.call.answer(done);
   t.is((await running).verdict.kind, "done");
 });
@@ -298,7 +301,7 @@
       known.push(makeTarget("a"));
     });
     let endedAt: number | undefined;
-    const out = dispatcher.dispatch(makeRoute(), makeCourse({ deadlineAt: 5000 }));
+    const out = dispatcher.dispatch(makeRoute(), makeCallerRequest({ deadlineAt: 5000 }));
     void out.then(() => (endedAt = clock.now()));
     for (let ms = 0; ms < 2000 && endedAt === undefined; ms += 10) {
       await clock.advance(10);
@@ -312,7 +315,7 @@
   // Story: the VM of the target that gave a slot is cut off before the booking is sent there. Nothing has
   // reached it, so there is no repeat that a budget could be for, and the caller is served elsewhere.
   const { hop, dispatcher, clock } = rig(0);
-  const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCourse());
+  const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   await clock.advance(0);
   const [first] = hop.runs;
   first?.call.fail(new NotSentError(new Error("connect timeout")));
@@ -348,8 +351,8 @@
     runs.begin();
     hop.onAsk = () => (clock.now() < 100 ? refused(RefusalReason.Full) : granted);
     hop.onRun = () => done;
-    const course = makeCourse({ origin, deadlineAt });
-    const result = dispatcher.dispatch(makeRoute({ idempotent: true }), course);
+    const request = makeCallerRequest({ origin, deadlineAt });
+    const result = dispatcher.dispatch(makeRoute({ idempotent: true }), request);
     await clock.advance(2000);
     t.is((await result).verdict.kind, verdict);
   });
@@ -369,7 +372,7 @@
       () => Promise.resolve(isLent),
     );
     hop.onRun = () => (hop.runs.length === 1 ? failed : done);
-    const result = dispatcher.dispatch(makeRoute({ idempotent: true }), makeCourse());
+    const result = dispatcher.dispatch(makeRoute({ idempotent: true }), makeCallerRequest());
     await clock.advance(1000);
     await result;
     t.is(hop.runs.length, sends);
@@ -381,7 +384,7 @@
   // too late. Each was sent for as long as its caller waited, twenty times and more, and kept the link full.
   const { clock, hop, dispatcher } = rig();
   hop.onRun = () => expired;
-  const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCourse());
+  const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   await clock.advance(500);
   t.is((await result).verdict.kind, "not-run");
   t.true(hop.runs.length <= 7, `${hop.runs.length} sends`);
--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -4,14 +4,14 @@
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import type { HopLink } from "../hop/HopLink.ts";
-import type { BudgetLoans } from "./BudgetLoans.ts";
-import type { CallTraffic } from "./CallTraffic.ts";
-import type { CourseRequest } from "./CourseRequest.ts";
-import { GrantSeeker, type Grant, type Sought } from "./GrantSeeker.ts";
+import type { RetryTokenBorrower } from "./RetryTokenBorrower.ts";
+import type { TrafficClassifier } from "./TrafficClassifier.ts";
+import type { CallerRequest } from "./CallerRequest.ts";
+import { SlotFinder, type Grant, type SlotSearchResult } from "./SlotFinder.ts";
 import type { RetryBudgets } from "./RetryBudgets.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 import type { RoutingPolicy } from "./RoutingPolicy.ts";
-import { RunCourse } from "./RunCourse.ts";
+import { RemoteRun } from "./RemoteRun.ts";
 
 /** What is sent beside first tries: a retry, or a second run beside a stuck one. */
 type ExtraTry = "retry" | "hedge";
@@ -24,11 +24,11 @@
   readonly callerService: string;
   readonly budgets: RetryBudgets;
   /** Leave for retries from other sidecars, where this one's own part is used up; left out, there is none. */
-  readonly loans?: Pick<BudgetLoans, "borrow">;
+  readonly borrower?: Pick<RetryTokenBorrower, "borrow">;
   /** This sidecar has just started, and may not know all targets yet; left out, it never has. */
   readonly isStarting?: () => boolean;
   /** Tells calls that targets make from callers' own requests; left out, all are callers' own. */
-  readonly calls?: Pick<CallTraffic, "begin">;
+  readonly calls?: Pick<TrafficClassifier, "begin">;
   /** Told of each request that is sent to a further target. */
   readonly onExtraTry?: (service: string, cause: ExtraTry) => void;
   /** Told of a retry that the service's budget had no room for. */
@@ -73,7 +73,7 @@
 /** The state of one request on its way. */
 interface Course {
   readonly route: RouteMatch;
-  readonly req: CourseRequest;
+  readonly req: CallerRequest;
   /** A target makes it in the midst of a run. */
   readonly isCall: boolean;
   /** Targets that had their chance. */
@@ -98,7 +98,7 @@
  */
 export class Dispatcher {
   readonly #deps: DispatcherDeps;
-  readonly #seekers = new Set<GrantSeeker>();
+  readonly #finders = new Set<SlotFinder>();
   #closed = false;
 
   constructor(deps: DispatcherDeps) {
@@ -106,7 +106,7 @@
   }
 
   /** Forwards `req` along `route`; always resolves with a verdict. */
-  async dispatch(route: RouteMatch, req: CourseRequest): Promise<ForwardResult> {
+  async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     const { calls, budgets } = this.#deps;
     const begun = calls?.begin(route, req.origin);
     const isCall = begun?.isCall ?? false;
@@ -158,13 +158,13 @@
    */
   close(): void {
     this.#closed = true;
-    for (const seeker of this.#seekers) {
-      seeker.giveUp();
+    for (const finder of this.#finders) {
+      finder.giveUp();
     }
   }
 
   /** Whether a target may come to be known soon, with the caller still there. */
-  #mayComeUp({ startedAt, deadlineAt, left }: CourseRequest): boolean {
+  #mayComeUp({ startedAt, deadlineAt, left }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
     const holdUntil = Math.min(startedAt + STARTING_HOLD_MS, deadlineAt);
     return isStarting?.() === true && clock.now() < holdUntil && !left.aborted && !this.#closed;
@@ -182,18 +182,18 @@
     return new Promise((resolve) => this.#deps.clock.after(ms, resolve));
   }
 
-  #seek(course: Course): GrantSeeker {
+  #seek(course: Course): SlotFinder {
     const { policy, hop, clock, log } = this.#deps;
-    const ask: HopLink["ask"] = (...args) => hop.ask(...args);
+    const requestSlot: HopLink["requestSlot"] = (...args) => hop.requestSlot(...args);
     const { route, req, tried, isCall } = course;
     const request = { route, isCall, isExpendable: this.#hasSpareTry(course) };
-    const seeker = new GrantSeeker({ policy, ask, clock, log }, request, req, tried);
-    this.#seekers.add(seeker);
-    void seeker.sought.then(() => this.#seekers.delete(seeker));
+    const finder = new SlotFinder({ policy, requestSlot, clock, log }, request, req, tried);
+    this.#finders.add(finder);
+    void finder.sought.then(() => this.#finders.delete(finder));
     if (this.#closed) {
-      seeker.giveUp();
+      finder.giveUp();
     }
-    return seeker;
+    return finder;
   }
 
   /** Runs the request where it was granted a slot, and at a second target when the first is stuck. */
@@ -221,8 +221,8 @@
   /** A second run that starts when the first is stuck; its result is undefined when it never starts. */
   #hedgeLater(course: Course) {
     const { clock, policy, log, onExtraTry } = this.#deps;
-    let run: RunCourse | undefined;
-    let seeker: GrantSeeker | undefined;
+    let run: RemoteRun | undefined;
+    let finder: SlotFinder | undefined;
     let settle: (result: ForwardResult | undefined) => void = () => undefined;
     const result = new Promise<ForwardResult | undefined>((resolve) => (settle = resolve));
     const hedge = {
@@ -231,7 +231,7 @@
       cancel: () => {
         timer.cancel();
         if (!hedge.started) {
-          seeker?.giveUp();
+          finder?.giveUp();
         }
       },
       giveUp: () => run?.giveUp(),
@@ -241,8 +241,8 @@
         this.#noteDenied(course, "hedge");
         return;
       }
-      seeker = this.#seek(course);
-      void seeker.sought.then((sought) => {
+      finder = this.#seek(course);
+      void finder.sought.then((sought) => {
         if (sought.kind === "granted") {
           onExtraTry?.(course.route.service.name, "hedge");
           log.info({ attempt: course.req.attempt, target: sought.grant.target.id }, "hedging");
@@ -255,17 +255,17 @@
     return hedge;
   }
 
-  #start(course: Course, grant: Grant): RunCourse {
+  #start(course: Course, grant: Grant): RemoteRun {
     const { hop, callerService, clock, log, policy } = this.#deps;
     const { route, req } = course;
     course.tried.add(grant.target.id);
     course.sends += 1;
     const end = policy.begin(route, grant.target);
     const onSilence = () => {
-      policy.noteSilence(grant.target);
+      policy.noteTimeout(grant.target);
     };
     const deps = { hop, callerService, clock, log, onSilence };
-    const run = new RunCourse(deps, route, req, grant);
+    const run = new RemoteRun(deps, route, req, grant);
     void run.result.then((result) => {
       end(result.outcome);
       if (result.calls) {
@@ -324,13 +324,13 @@
 
   /** Takes leave for a further send from the service's retry budget, here or elsewhere; tells of it where there is none left. */
   async #takeLeave(course: Course): Promise<boolean> {
-    const { budgets, loans, log } = this.#deps;
+    const { budgets, borrower, log } = this.#deps;
     const { route, req } = course;
     if (budgets.tryRetry(route)) {
       return true;
     }
     const costs = budgets.costs(route);
-    if (await loans?.borrow(costs)) {
+    if (await borrower?.borrow(costs)) {
       log.info({ attempt: req.attempt, costs }, "retry tokens borrowed");
       return !req.left.aborted;
     }
@@ -366,11 +366,11 @@
   return verdict.kind === "not-run" && outcome === AttemptOutcome.Cancelled;
 }
 
-function isStream(body: CourseRequest["body"]): boolean {
+function isStream(body: CallerRequest["body"]): boolean {
   return body !== undefined && !Buffer.isBuffer(body);
 }
 
-function notRun(sought: Extract<Sought, { kind: "refused" }>): ForwardResult {
+function notRun(sought: Extract<SlotSearchResult, { kind: "refused" }>): ForwardResult {
   const { reason, retryAfterMs } = sought;
   return { verdict: { kind: "not-run", reason, retryAfterMs }, outcome: AttemptOutcome.Shed };
 }
--- a/src/sidecar/routing/NaivePolicy.ts
+++ b/src/sidecar/routing/NaivePolicy.ts
@@ -5,7 +5,7 @@
 import type { TargetId } from "../../common/ids/TargetId.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
-import type { Picked, PickFor, RoutingPolicy, Suspected } from "./RoutingPolicy.ts";
+import type { PickedTarget, PickContext, RoutingPolicy, SuspectTarget } from "./RoutingPolicy.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 import { TargetState } from "../../membership/TargetState.ts";
 import type { TargetTable } from "../../membership/TargetTable.ts";
@@ -44,7 +44,7 @@
     this.register(every(HEALTH_CHECK_MS, () => void this.checkHealth()));
   }
 
-  pick({ route }: PickFor, tried: ReadonlySet<TargetId>): Picked | undefined {
+  pick({ route }: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined {
     const candidates = this.#deps.table
       .targetsOf(ServiceName(route.service.name))
       .filter((t) => t.state === TargetState.Ready && !this.#ejected.has(t.id) && !tried.has(t.id));
@@ -52,7 +52,7 @@
     return target && { target };
   }
 
-  suspected(): Suspected[] {
+  suspected(): SuspectTarget[] {
     return [];
   }
 
@@ -72,11 +72,11 @@
     return false;
   }
 
-  noteNews(): void {
+  noteLoad(): void {
     // Listens to nobody.
   }
 
-  noteSilence(target: TargetInfo): void {
+  noteTimeout(target: TargetInfo): void {
     this.#noteEnd(target, AttemptOutcome.NoAnswer);
   }
 
--- a/src/sidecar/routing/RunCourse.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -6,9 +6,9 @@
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
 import type { HopLink } from "../hop/HopLink.ts";
 import { NotSentError } from "../hop/NotSentError.ts";
-import type { Pending } from "../hop/Pending.ts";
-import type { CourseRequest } from "./CourseRequest.ts";
-import type { Grant } from "./GrantSeeker.ts";
+import type { PendingCall } from "../hop/PendingCall.ts";
+import type { CallerRequest } from "./CallerRequest.ts";
+import type { Grant } from "./SlotFinder.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
 /** A run is signalled alive every 300 ms; silent for longer than this, its connection or the path is at fault, ms. */
@@ -23,7 +23,7 @@
  */
 const MARGIN_MS = 20;
 
-interface RunCourseDeps {
+interface RemoteRunDeps {
   readonly hop: Pick<HopLink, "run" | "join">;
   readonly callerService: string;
   readonly clock: Clock;
@@ -38,13 +38,13 @@
  * over new connections until its outcome is known or its time is up; idempotent work
  * is given up on, since it can be sent elsewhere.
  */
-export class RunCourse {
-  readonly #deps: RunCourseDeps;
+export class RemoteRun {
+  readonly #deps: RemoteRunDeps;
   readonly #route: RouteMatch;
-  readonly #req: CourseRequest;
+  readonly #req: CallerRequest;
   readonly #grant: Grant;
   readonly #settle: (result: ForwardResult) => void;
-  readonly #pending = new Set<Pending<ForwardResult>>();
+  readonly #pending = new Set<PendingCall<ForwardResult>>();
   #silenceTimer: Timer | undefined;
   readonly #deadlineTimer: Timer;
   #done = false;
@@ -52,7 +52,7 @@
   /** Resolves once the outcome is known, or the time is up. */
   readonly result: Promise<ForwardResult>;
 
-  constructor(deps: RunCourseDeps, route: RouteMatch, req: CourseRequest, grant: Grant) {
+  constructor(deps: RemoteRunDeps, route: RouteMatch, req: CallerRequest, grant: Grant) {
     this.#deps = deps;
     this.#route = route;
     this.#req = req;
@@ -99,7 +99,7 @@
     };
   }
 
-  #watch(pending: Pending<ForwardResult>, isFirst: boolean): void {
+  #watch(pending: PendingCall<ForwardResult>, isFirst: boolean): void {
     this.#pending.add(pending);
     pending.answer.then(
       (result) => {
--- a/src/sidecar/routing/RetryBudget.ts
+++ b/src/sidecar/routing/RetryBudget.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
-import { WindowSum } from "./WindowSum.ts";
+import { SlidingWindowSum } from "./SlidingWindowSum.ts";
 
 /** How many extra requests a service may be sent beside its callers' own, over the whole fleet. */
 export interface RetryBudgetRule {
@@ -40,14 +40,14 @@
  */
 export class RetryBudget {
   readonly #deps: RetryBudgetDeps;
-  readonly #firstTries: WindowSum;
-  readonly #extras: WindowSum;
+  readonly #firstTries: SlidingWindowSum;
+  readonly #extras: SlidingWindowSum;
 
   constructor(deps: RetryBudgetDeps) {
     this.#deps = deps;
     const { windowMs } = deps.rule();
-    this.#firstTries = new WindowSum(windowMs);
-    this.#extras = new WindowSum(windowMs);
+    this.#firstTries = new SlidingWindowSum(windowMs);
+    this.#extras = new SlidingWindowSum(windowMs);
   }
 
   /** Records a first try of a caller's own request. */
--- a/src/sidecar/routing/BudgetLoans.test.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.test.ts
@@ -3,7 +3,7 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { makeRoute } from "../../../test/fixtures/makeRoute.ts";
 import { makeService } from "../../../test/fixtures/makeService.ts";
-import { BudgetLoans } from "./BudgetLoans.ts";
+import { RetryTokenBorrower } from "./RetryTokenBorrower.ts";
 import { RetryBudgets } from "./RetryBudgets.ts";
 
 const route = makeRoute({ service: makeService({ name: "reports" }), budgetRatio: undefined });
@@ -12,7 +12,7 @@
 /** Sidecars of which some have room to lend; which were asked. */
 function rig(lenders: readonly string[], withRoom: readonly string[]) {
   const asked: string[] = [];
-  const loans = new BudgetLoans({
+  const borrower = new RetryTokenBorrower({
     lenders: () => lenders,
     ask: (address) => {
       asked.push(address);
@@ -20,7 +20,7 @@
     },
     random: seededRandom(1),
   });
-  return { asked, loans };
+  return { asked, borrower };
 }
 
 const cases: readonly {
@@ -50,8 +50,8 @@
 
 for (const { name, lenders, withRoom, isGiven, asked: count } of cases) {
   test(`loans: ${name}`, async (t) => {
-    const { asked, loans } = rig(lenders, withRoom);
-    t.is(await loans.borrow(costs), isGiven);
+    const { asked, borrower } = rig(lenders, withRoom);
+    t.is(await borrower.borrow(costs), isGiven);
     t.is(asked.length, count);
     t.is(new Set(asked).size, count, "none is asked twice");
   });
@@ -77,7 +77,7 @@
           random,
         }),
     );
-    const loans = new BudgetLoans({
+    const borrower = new RetryTokenBorrower({
       lenders: () => fleet.map((_, n) => String(n)),
       ask: (address) => Promise.resolve(fleet[Number(address)]?.lend(costs) ?? false),
       random,
@@ -88,7 +88,7 @@
       const own = fleet[Math.floor(random() * 10)];
       own?.onFirstTry(route);
       firsts.push(ms);
-      if ((own?.tryRetry(route) ?? false) || (await loans.borrow(costs))) {
+      if ((own?.tryRetry(route) ?? false) || (await borrower.borrow(costs))) {
         extras.push(ms);
       }
       await clock.advance(20);
--- a/src/sidecar/routing/BudgetLoans.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.ts
@@ -4,7 +4,7 @@
 /** Sidecars that are asked one after the other before a retry is given up. */
 const MAX_LENDERS = 4;
 
-interface BudgetLoansDeps {
+interface RetryTokenBorrowerDeps {
   /** Addresses of sidecars that may lend. */
   readonly lenders: () => readonly string[];
   /** Asks one of them; false where it has no room, or does not answer soon. */
@@ -19,10 +19,10 @@
  * spent, so the sum stays within the budget: it is used at once or not at all, and a lender that restarts has no part of
  * its own for a window.
  */
-export class BudgetLoans {
-  readonly #deps: BudgetLoansDeps;
+export class RetryTokenBorrower {
+  readonly #deps: RetryTokenBorrowerDeps;
 
-  constructor(deps: BudgetLoansDeps) {
+  constructor(deps: RetryTokenBorrowerDeps) {
     this.#deps = deps;
   }
 
--- a/src/sidecar/routing/WindowSum.ts
+++ b/src/sidecar/routing/SlidingWindowSum.ts
@@ -1,5 +1,5 @@
 /** A sum over a sliding window of time. */
-export class WindowSum {
+export class SlidingWindowSum {
   readonly #windowMs: number;
   #parts: { readonly at: number; readonly weight: number }[] = [];
   #sum = 0;
--- a/src/sidecar/routing/GrantSeeker.test.ts
+++ b/src/sidecar/routing/SlotFinder.test.ts
@@ -3,11 +3,11 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { FakeHop, granted, refused } from "../../../test/fixtures/FakeHop.ts";
 import { FixedPolicy } from "../../../test/fixtures/FixedPolicy.ts";
-import { makeCourse } from "../../../test/fixtures/makeCourse.ts";
+import { makeCallerRequest } from "../../../test/fixtures/makeCallerRequest.ts";
 import { makeRoute } from "../../../test/fixtures/makeRoute.ts";
 import { makeTarget } from "../../../test/fixtures/makeTarget.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
-import { GrantSeeker } from "./GrantSeeker.ts";
+import { SlotFinder } from "./SlotFinder.ts";
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
@@ -20,11 +20,11 @@
   hop.onAsk = () => undefined;
   const targets = names.map((id) => makeTarget(id, { hopAddress: id, askAddress: id }));
   const policy = new FixedPolicy(targets, gray);
-  const seek = (over: Parameters<typeof makeCourse>[0] = {}) =>
-    new GrantSeeker(
-      { policy, ask: (...args) => hop.ask(...args), clock, log },
+  const seek = (over: Parameters<typeof makeCallerRequest>[0] = {}) =>
+    new SlotFinder(
+      { policy, requestSlot: (...args) => hop.requestSlot(...args), clock, log },
       { route: makeRoute(), isExpendable: true },
-      makeCourse(over),
+      makeCallerRequest(over),
       new Set(),
     );
   const asked = () => hop.asks.map((a) => a.address).join("");
@@ -44,9 +44,9 @@
 
 test("seek: a free slot at the first target costs one ask", async (t) => {
   const { clock, hop, seek, asked } = rig();
-  const seeker = seek();
+  const finder = seek();
   hop.asks[0]?.call.answer(granted);
-  const sought = await seeker.sought;
+  const sought = await finder.sought;
   await clock.advance(1000);
   t.is(sought.kind === "granted" && sought.grant.target.hopAddress, "a");
   t.is(asked(), "a");
@@ -56,18 +56,18 @@
   // Story: the link to one target's VM is cut. The request goes to another long before
   // any timeout, and nothing is in doubt, since asking runs nothing.
   const { clock, hop, seek, asked } = rig();
-  const seeker = seek();
+  const finder = seek();
   await clock.advance(40);
   t.is(asked(), "ab");
   hop.asks[1]?.call.answer(granted);
-  const sought = await seeker.sought;
+  const sought = await finder.sought;
   t.is(sought.kind === "granted" && sought.grant.target.hopAddress, "b");
   t.true(hop.asks[0]?.call.givenUp);
 });
 
 test("seek: an ask that waits in a queue makes others be asked, but not more than three at a time", async (t) => {
   const { clock, hop, seek, asked } = rig();
-  const seeker = seek();
+  const finder = seek();
   for (let i = 0; i < 3; i++) {
     await clock.advance(5);
     hop.asks.at(-1)?.call.onAlive();
@@ -78,24 +78,24 @@
   await clock.advance(0);
   t.is(asked(), "abcd", "one that refused makes room for the next");
   hop.asks[0]?.call.answer(granted);
-  t.is((await seeker.sought).kind, "granted");
+  t.is((await finder.sought).kind, "granted");
   t.true([2, 3].every((i) => hop.asks[i]?.call.givenUp));
 });
 
 test("seek: a target under suspicion is taken only when no other will have the request", async (t) => {
   const { clock, hop, seek, asked } = rig(["a", "b"]);
-  const seeker = seek();
+  const finder = seek();
   hop.asks[0]?.call.answer(refused(RefusalReason.Suspect));
   await clock.advance(0);
   hop.asks[1]?.call.answer(refused(RefusalReason.Full));
   await clock.advance(0);
   t.is(asked(), "aba");
   t.deepEqual(
-    hop.asks.map((a) => a.ask.acceptsRisk > 0),
+    hop.asks.map((a) => a.request.acceptsRisk > 0),
     [false, false, true],
   );
   hop.asks[2]?.call.answer(granted);
-  t.is((await seeker.sought).kind, "granted");
+  t.is((await finder.sought).kind, "granted");
 });
 
 /** What the sound target does with a request while a gray one has room. */
@@ -110,12 +110,12 @@
     // always has room, since it fails what it gets at once: requests that had stood in line for
     // a while went there, and on a busy day 103 lease offers of 4,300 were lost that way.
     const { clock, hop, seek, asked } = rig(["a", "gray"], ["gray"]);
-    const seeker = seek({ deadlineAt: 2000 });
+    const finder = seek({ deadlineAt: 2000 });
     await answer(hop, clock, reply);
     await clock.advance(1900);
     t.is(asked(), "a");
     if (reply === "full") {
-      t.is((await seeker.sought).kind, "refused");
+      t.is((await finder.sought).kind, "refused");
     }
   });
 }
@@ -144,7 +144,7 @@
     t.is(asked(), askedAfterMs > 0 ? "a" : "agray");
     await clock.advance(1);
     t.is(asked(), "agray");
-    t.is(hop.asks[1]?.ask.acceptsRisk, isKept ? 0.75 : 0.5);
+    t.is(hop.asks[1]?.request.acceptsRisk, isKept ? 0.75 : 0.5);
   });
 }
 
@@ -164,25 +164,25 @@
 
 test("seek: when all have refused it is over at once, with the soonest time to come back", async (t) => {
   const { clock, hop, seek } = rig(["a", "b"]);
-  const seeker = seek();
+  const finder = seek();
   hop.asks[0]?.call.answer({ ...refused(), retryAfterMs: 700 } as never);
   await clock.advance(0);
   hop.asks[1]?.call.answer({ ...refused(), retryAfterMs: 300 } as never);
-  const sought = await seeker.sought;
+  const sought = await finder.sought;
   t.is(sought.kind === "refused" && sought.retryAfterMs, 300);
   t.is(clock.now(), 0);
 });
 
 test("seek: no slot by the deadline is a refusal, and every ask is withdrawn", async (t) => {
   const { clock, hop, seek } = rig();
-  const seeker = seek({ deadlineAt: 500 });
+  const finder = seek({ deadlineAt: 500 });
   for (let i = 0; i < 20; i++) {
     hop.asks.forEach((a) => {
       a.call.onAlive();
     });
     await clock.advance(25);
   }
-  t.is((await seeker.sought).kind, "refused");
+  t.is((await finder.sought).kind, "refused");
   t.true(hop.asks.every((a) => a.call.givenUp));
 });
 
@@ -190,6 +190,6 @@
   const { clock, hop, seek } = rig();
   await clock.advance(300);
   seek({ startedAt: 100, deadlineAt: 1100 });
-  t.is(hop.asks[0]?.ask.remainingMs, 800);
-  t.is(hop.asks[0]?.ask.objectiveMs, 100);
+  t.is(hop.asks[0]?.request.remainingMs, 800);
+  t.is(hop.asks[0]?.request.objectiveMs, 100);
 });
--- a/src/sidecar/routing/GrantSeeker.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -5,14 +5,14 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
-import type { Ask } from "../hop/Ask.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotRequest } from "../hop/SlotRequest.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import type { HopLink } from "../hop/HopLink.ts";
-import type { Pending } from "../hop/Pending.ts";
+import type { PendingCall } from "../hop/PendingCall.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
-import type { CourseRequest } from "./CourseRequest.ts";
-import type { Picked, PickFor, RoutingPolicy, Suspected } from "./RoutingPolicy.ts";
+import type { CallerRequest } from "./CallerRequest.ts";
+import type { PickedTarget, PickContext, RoutingPolicy, SuspectTarget } from "./RoutingPolicy.ts";
 
 /** A slot that was granted. */
 export interface Grant {
@@ -21,7 +21,7 @@
 }
 
 /** What came of asking: a slot, or why there is none. */
-export type Sought =
+export type SlotSearchResult =
   | { readonly kind: "granted"; readonly grant: Grant }
   | {
       readonly kind: "refused";
@@ -31,9 +31,9 @@
       readonly isUnknown: boolean;
     };
 
-interface GrantSeekerDeps {
+interface SlotFinderDeps {
   readonly policy: RoutingPolicy;
-  readonly ask: HopLink["ask"];
+  readonly requestSlot: HopLink["requestSlot"];
   readonly clock: Clock;
   readonly log: bunyan;
 }
@@ -98,7 +98,7 @@
 /** One target that was asked. */
 interface OpenAsk {
   readonly target: TargetInfo;
-  readonly pending: Pending<AskReply>;
+  readonly pending: PendingCall<SlotReply>;
   readonly askedAt: number;
   /** The chance of failure up to which it was asked though it is under suspicion. */
   readonly acceptsRisk: number;
@@ -113,19 +113,19 @@
  * target, so several may be asked at once, and a path that stays silent costs a few
  * tens of milliseconds and leaves nothing in doubt.
  */
-export class GrantSeeker {
-  readonly #deps: GrantSeekerDeps;
-  readonly #request: PickFor;
-  readonly #req: CourseRequest;
+export class SlotFinder {
+  readonly #deps: SlotFinderDeps;
+  readonly #request: PickContext;
+  readonly #req: CallerRequest;
   readonly #tried: Set<TargetId>;
   readonly #open = new Map<TargetId, OpenAsk>();
   /** Targets that refused it as being under suspicion. */
-  #suspects: Suspected[] = [];
+  #suspects: SuspectTarget[] = [];
   #hasProbed = false;
   /** Sound targets that had no room. */
   #full = 0;
   #queuedAt: number | undefined;
-  readonly #settle: (sought: Sought) => void;
+  readonly #settle: (sought: SlotSearchResult) => void;
   readonly #timers = new Set<Timer>();
   #retryAfterMs = Infinity;
   #reason = "no target of the service is known to take work";
@@ -133,20 +133,20 @@
   #done = false;
 
   /** Resolves once a slot was granted, or nobody is left to ask. */
-  readonly sought: Promise<Sought>;
+  readonly sought: Promise<SlotSearchResult>;
 
   /** @param tried targets that had their chance with this request */
   constructor(
-    deps: GrantSeekerDeps,
-    request: PickFor,
-    req: CourseRequest,
+    deps: SlotFinderDeps,
+    request: PickContext,
+    req: CallerRequest,
     tried: ReadonlySet<TargetId>,
   ) {
     this.#deps = deps;
     this.#request = request;
     this.#req = req;
     this.#tried = new Set(tried);
-    let settle: (sought: Sought) => void = () => undefined;
+    let settle: (sought: SlotSearchResult) => void = () => undefined;
     this.sought = new Promise((resolve) => (settle = resolve));
     this.#settle = settle;
     this.#after(req.deadlineAt - deps.clock.now(), () => {
@@ -181,7 +181,7 @@
     }
   }
 
-  #next(): Picked | undefined {
+  #next(): PickedTarget | undefined {
     return this.#deps.policy.pick(this.#request, this.#tried);
   }
 
@@ -189,7 +189,7 @@
    * The least bad of those under suspicion, where that is better than to wait, or to be refused: at
    * once where there is no sound target or none has room, and after a while in line.
    */
-  #leastBad(): (Suspected & { acceptsRisk: number }) | undefined {
+  #leastBad(): (SuspectTarget & { acceptsRisk: number }) | undefined {
     const isAlone = !this.#isInLine && this.#full === 0;
     if (this.#underWay >= (isAlone ? MAX_ASKS : MAX_ASKS + 1)) {
       return undefined;
@@ -211,7 +211,7 @@
     return { ...best, acceptsRisk };
   }
 
-  #acceptedRisk({ isKept }: Suspected, isAlone: boolean): number {
+  #acceptedRisk({ isKept }: SuspectTarget, isAlone: boolean): number {
     if (isAlone) {
       return this.#request.isExpendable ? ANY_RISK : KEPT_RISK;
     }
@@ -247,12 +247,12 @@
     return this.#request.route.objectiveMs * PATIENCE_SHARE;
   }
 
-  #ask({ target }: Pick<Picked, "target">, over: Partial<Ask> = {}): void {
+  #ask({ target }: Pick<PickedTarget, "target">, over: Partial<SlotRequest> = {}): void {
     const { clock } = this.#deps;
     this.#tried.add(target.id);
     const askedAt = clock.now();
     const words = { ...this.#words(target, askedAt), ...over };
-    const pending = this.#deps.ask(target.askAddress, words, (load) => {
+    const pending = this.#deps.requestSlot(target.askAddress, words, (load) => {
       this.#onQueued(target, load);
     });
     const { acceptsRisk } = words;
@@ -276,7 +276,7 @@
       this.#ifSilent(target, (open) => {
         open.dead = true;
         this.#deps.log.info({ attempt: this.#req.attempt, target: target.id }, "ask unanswered");
-        this.#deps.policy.noteSilence(target);
+        this.#deps.policy.noteTimeout(target);
         this.#askNext();
       });
     });
@@ -290,7 +290,7 @@
     });
   }
 
-  #words(target: TargetInfo, now: number): Ask {
+  #words(target: TargetInfo, now: number): SlotRequest {
     const { route, isExpendable, isCall = false } = this.#request;
     const { priority, objectiveMs } = route;
     const { attempt, startedAt, deadlineAt, body, bodyLength = 0 } = this.#req;
@@ -324,7 +324,7 @@
     }
   }
 
-  #onReply(target: TargetInfo, reply: AskReply): void {
+  #onReply(target: TargetInfo, reply: SlotReply): void {
     const open = this.#open.get(target.id);
     if (!open || this.#done) {
       return;
@@ -365,7 +365,7 @@
     this.#end({ kind: "refused", reason, retryAfterMs, isUnknown: this.#isUnknown });
   }
 
-  #end(sought: Sought): void {
+  #end(sought: SlotSearchResult): void {
     if (this.#done) {
       return;
     }
--- a/src/sidecar/routing/SplitDraw.test.ts
+++ b/src/sidecar/routing/SplitSampler.test.ts
@@ -1,10 +1,10 @@
 import test from "ava";
 import { seededRandom } from "../../../test/fixtures/seededRandom.ts";
-import { SplitDraw } from "./SplitDraw.ts";
+import { SplitSampler } from "./SplitSampler.ts";
 
 for (const weight of [0.05, 0.25, 0.5, 0.9]) {
   test(`split: a part of weight ${String(weight)} gets nearly its share of few requests`, (t) => {
-    const draw = new SplitDraw(seededRandom(7));
+    const draw = new SplitSampler(seededRandom(7));
     const draws = Array.from({ length: 100 }, () => draw.next("route"));
     const share = draws.filter((d) => d < weight).length / draws.length;
     t.true(Math.abs(share - weight) <= 0.02, `share ${String(share)}`);
@@ -13,13 +13,13 @@
 
 test("split: many sidecars with one request each share by weight too", (t) => {
   const random = seededRandom(3);
-  const draws = Array.from({ length: 1000 }, () => new SplitDraw(random).next("route"));
+  const draws = Array.from({ length: 1000 }, () => new SplitSampler(random).next("route"));
   const share = draws.filter((d) => d < 0.3).length / draws.length;
   t.true(Math.abs(share - 0.3) < 0.05, `share ${String(share)}`);
 });
 
 test("split: each route has its own sequence", (t) => {
-  const draw = new SplitDraw(() => 0);
+  const draw = new SplitSampler(() => 0);
   t.is(draw.next("a"), draw.next("b"));
   t.not(draw.next("a"), draw.next("c"));
 });
--- a/src/sidecar/routing/SplitDraw.ts
+++ b/src/sidecar/routing/SplitSampler.ts
@@ -6,7 +6,7 @@
  * part gets nearly its share. Each sidecar starts each sequence at a random point, so
  * that many sidecars with few requests each do not all begin with the same part.
  */
-export class SplitDraw {
+export class SplitSampler {
   readonly #random: () => number;
   readonly #at = new Map<string, number>();
 
--- a/src/sidecar/routing/TargetStandings.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -15,7 +15,7 @@
 const FORGET_MS = 5000;
 
 /** What this sidecar keeps about one target. */
-export interface Standing {
+export interface TargetView {
   readonly link: LinkHealth;
   /** The life of the target that the rest tells of. */
   readonly born: number;
@@ -27,58 +27,58 @@
   outstanding: number;
 }
 
-interface TargetStandingsDeps {
+interface TargetViewsDeps {
   readonly table: Pick<TargetTable, "target">;
   readonly clock: Clock;
 }
 
 /** What this sidecar knows of each target, by its own asks and by what gates told it, and for how long that counts. */
-export class TargetStandings {
-  readonly #deps: TargetStandingsDeps;
+export class TargetViews {
+  readonly #deps: TargetViewsDeps;
   readonly #startedAt: number;
-  readonly #standings = new Map<TargetId, Standing>();
+  readonly #views = new Map<TargetId, TargetView>();
   #forgotAt = -Infinity;
 
-  constructor(deps: TargetStandingsDeps) {
+  constructor(deps: TargetViewsDeps) {
     this.#deps = deps;
     this.#startedAt = deps.clock.now();
   }
 
   /** What is kept of a target, begun anew with each of its lives. */
-  of({ id, born }: TargetInfo): Standing {
-    let standing = this.#standings.get(id);
-    if (standing?.born !== born) {
-      standing = {
+  of({ id, born }: TargetInfo): TargetView {
+    let view = this.#views.get(id);
+    if (view?.born !== born) {
+      view = {
         // The path to it stays as it was: it leads to the sidecar beside it.
-        link: standing?.link ?? new LinkHealth(this.#deps.clock),
+        link: view?.link ?? new LinkHealth(this.#deps.clock),
         born,
         seenAt: this.#seenNow(),
         load: undefined,
         loadAt: -Infinity,
         outstanding: 0,
       };
-      this.#standings.set(id, standing);
+      this.#views.set(id, view);
     }
-    return standing;
+    return view;
   }
 
   /** What is kept of a target that was asked before; undefined for any other. */
-  known(id: TargetId): Standing | undefined {
-    return this.#standings.get(id);
+  known(id: TargetId): TargetView | undefined {
+    return this.#views.get(id);
   }
 
-  noteLoad(standing: Standing, load: GateLoad): void {
-    standing.load = load;
-    standing.loadAt = this.#deps.clock.now();
+  noteLoad(view: TargetView, load: GateLoad): void {
+    view.load = load;
+    view.loadAt = this.#deps.clock.now();
   }
 
   /** What is thought of a target at `now`: that holds until its gate says otherwise, or is not heard of for long. */
-  judged({ load, loadAt }: Standing, now: number): GateLoad | undefined {
+  judged({ load, loadAt }: TargetView, now: number): GateLoad | undefined {
     return now - loadAt < JUDGED_FRESH_MS ? load : undefined;
   }
 
   /** How busy a target is at `now`; undefined where that was not heard lately. */
-  freshLoad({ load, loadAt }: Standing, now: number): GateLoad | undefined {
+  freshLoad({ load, loadAt }: TargetView, now: number): GateLoad | undefined {
     return now - loadAt < LOAD_FRESH_MS ? load : undefined;
   }
 
@@ -90,15 +90,15 @@
       return;
     }
     this.#forgotAt = now;
-    for (const [id, { outstanding }] of this.#standings) {
+    for (const [id, { outstanding }] of this.#views) {
       if (outstanding === 0 && !table.target(id)) {
-        this.#standings.delete(id);
+        this.#views.delete(id);
       }
     }
   }
 
   clear(): void {
-    this.#standings.clear();
+    this.#views.clear();
   }
 
   /** Those that are there when this sidecar starts are not new, only new to it. */
--- a/src/sidecar/routing/CallTraffic.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -2,7 +2,7 @@
 import bunyan from "bunyan";
 import { makeRoute } from "../../../test/fixtures/makeRoute.ts";
 import { seededRandom } from "../../../test/fixtures/seededRandom.ts";
-import { CallTraffic } from "./CallTraffic.ts";
+import { TrafficClassifier } from "./TrafficClassifier.ts";
 import { RequestOrigin } from "./RequestOrigin.ts";
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
@@ -13,7 +13,7 @@
 function rig(idleShare: number, comesIdle: number) {
   const random = seededRandom(3);
   const weights: number[] = [];
-  const calls = new CallTraffic({
+  const calls = new TrafficClassifier({
     runs: {
       get count() {
         return random() < comesIdle ? 0 : 4;
@@ -114,7 +114,7 @@
     // Story: a sidecar's target is never idle, and nothing told calls from callers' own requests for the first
     // minute of each process: no lookup was sent a second time, since none gave leave for it.
     const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-    const calls = new CallTraffic({ runs, log });
+    const calls = new TrafficClassifier({ runs, log });
     calls.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
     for (let n = 1; n < arrivals; n++) {
       calls.begin(route, origin);
@@ -127,7 +127,7 @@
 
 test("calls: requests of one route are told apart by where they come from", (t) => {
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-  const calls = new CallTraffic({ runs, log });
+  const calls = new TrafficClassifier({ runs, log });
   t.true(calls.begin(route, RequestOrigin.Elsewhere).isOwn);
   t.true(calls.begin(route, RequestOrigin.TargetVm).isCall);
 });
@@ -135,7 +135,7 @@
 test("calls: where all requests come from the target's address, that tells nothing", (t) => {
   // Story: on some platforms callers reach the sidecar from its own VM. All of their requests were taken for calls.
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-  const calls = new CallTraffic({ runs, log });
+  const calls = new TrafficClassifier({ runs, log });
   const begun = calls.begin(route, RequestOrigin.TargetVm);
   t.false(begun.isCall);
   t.false(begun.isOwn);
@@ -143,7 +143,7 @@
 
 test("calls: callers at the target's own address are found to be callers", (t) => {
   const runs = { count: 0, idleShare: 0.5, beginCall: () => () => undefined };
-  const calls = new CallTraffic({ runs, log });
+  const calls = new TrafficClassifier({ runs, log });
   calls.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
   for (let n = 0; n < 3; n++) {
     calls.begin(route, RequestOrigin.TargetVm);
@@ -153,7 +153,7 @@
 
 test("calls: routes are told apart", (t) => {
   const runs = { count: 0, idleShare: 0.2, beginCall: () => () => undefined };
-  const calls = new CallTraffic({ runs, log });
+  const calls = new TrafficClassifier({ runs, log });
   calls.begin(route);
   t.true(calls.begin(route).isOwn);
   runs.count = 4;
--- a/src/sidecar/routing/CallTraffic.ts
+++ b/src/sidecar/routing/TrafficClassifier.ts
@@ -1,5 +1,5 @@
 import type bunyan from "bunyan";
-import type { RunsHere } from "../gate/RunsHere.ts";
+import type { ActiveRuns } from "../gate/ActiveRuns.ts";
 import { RequestOrigin } from "./RequestOrigin.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
@@ -26,7 +26,7 @@
 };
 
 /** A request that begins at this sidecar, and what it counts as. */
-export interface Begun {
+export interface StartedRequest {
   /** It is taken for a caller's own request: it gives leave for extras. */
   readonly isOwn: boolean;
   /** It is taken for a call, of a run that is lost without it. */
@@ -35,8 +35,8 @@
   end(wasServed: boolean): void;
 }
 
-interface CallTrafficDeps {
-  readonly runs: Pick<RunsHere, "count" | "idleShare" | "beginCall">;
+interface TrafficClassifierDeps {
+  readonly runs: Pick<ActiveRuns, "count" | "idleShare" | "beginCall">;
   readonly log: bunyan;
 }
 
@@ -47,8 +47,8 @@
  * come at times when none is gathers evidence (log-likelihood ratios) of callers' own; the busier the target, the
  * slower, so that where the address tells nothing it may take a minute.
  */
-export class CallTraffic {
-  readonly #deps: CallTrafficDeps;
+export class TrafficClassifier {
+  readonly #deps: TrafficClassifierDeps;
   /** Evidence that the requests of a route and an origin are calls, against callers' own, nats. */
   readonly #nats = new Map<string, number>();
   /** Requests come from other addresses than the target's: until then, callers may share it, and it tells nothing. */
@@ -56,7 +56,7 @@
   /** What the log has last told of each. */
   readonly #told = new Map<string, number>();
 
-  constructor(deps: CallTrafficDeps) {
+  constructor(deps: TrafficClassifierDeps) {
     this.#deps = deps;
   }
 
@@ -64,7 +64,7 @@
   begin(
     { name: route, service }: Pick<RouteMatch, "name" | "service">,
     origin = RequestOrigin.Unknown,
-  ): Begun {
+  ): StartedRequest {
     const { runs } = this.#deps;
     this.#hasElsewhere ||= origin === RequestOrigin.Elsewhere;
     const tells = this.#hasElsewhere ? origin : RequestOrigin.Unknown;
--- a/src/sidecar/routing/ZoneWaits.test.ts
+++ b/src/sidecar/routing/ZoneWaitEstimator.test.ts
@@ -2,7 +2,7 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { ServiceName } from "../../common/ids/ServiceName.ts";
 import { ZoneName } from "../../common/ids/ZoneName.ts";
-import { ZoneWaits } from "./ZoneWaits.ts";
+import { ZoneWaitEstimator } from "./ZoneWaitEstimator.ts";
 
 const BOOKS = ServiceName("books");
 const DESK = ServiceName("desk");
@@ -38,7 +38,7 @@
 for (const { name, heard, afterMs, least, most } of cases) {
   test(`an ask is expected to wait in a zone where ${name}`, async (t) => {
     const clock = new FakeClock();
-    const waits = new ZoneWaits(clock);
+    const waits = new ZoneWaitEstimator(clock);
     heard.forEach((ms) => {
       waits.note(BOOKS, HERE, ms);
     });
--- a/src/sidecar/routing/ZoneWaits.ts
+++ b/src/sidecar/routing/ZoneWaitEstimator.ts
@@ -19,7 +19,7 @@
  * otherwise, the targets of a zone with more callers than others were asked first all the same, and
  * requests stood in line there while other zones had room.
  */
-export class ZoneWaits {
+export class ZoneWaitEstimator {
   readonly #clock: Clock;
   readonly #averages = new Map<string, Average>();
 
--- a/src/sidecar/routing/lendersOf.ts
+++ b/src/sidecar/routing/chooseLenders.ts
@@ -4,7 +4,7 @@
 const FEW_LENDERS = 8;
 
 /** Addresses of sidecars that are asked for leave to retry: those of the own zone, whose answers come soon; all, where it has few. */
-export function lendersOf(table: Pick<TargetTable, "liveMembers" | "selfZone">): string[] {
+export function chooseLenders(table: Pick<TargetTable, "liveMembers" | "selfZone">): string[] {
   const sidecars = table.liveMembers().filter((m) => !m.control);
   const near = sidecars.filter((m) => m.zone === table.selfZone);
   return (near.length >= FEW_LENDERS ? near : sidecars).map((m) => m.peer_address);
