--- a/src/sidecar/routing/policies.test.ts
+++ b/src/sidecar/routing/policies.test.ts
@@ -12,11 +12,11 @@
 import { ZoneName } from "../../common/ids/ZoneName.ts";
 import { TargetTable } from "../../membership/TargetTable.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import { TargetJudge } from "../detection/TargetJudge.ts";
-import { TrustingJudge } from "../detection/TrustingJudge.ts";
+import { GrayFailureDetector } from "../detection/GrayFailureDetector.ts";
+import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
 import { Gate } from "../gate/Gate.ts";
 import { GrantIds } from "../gate/GrantIds.ts";
-import type { AskReply } from "../hop/AskReply.ts";
+import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { AdaptivePolicy } from "./AdaptivePolicy.ts";
 import { NaivePolicy } from "./NaivePolicy.ts";
@@ -80,8 +80,8 @@
       this.#naive = new NaivePolicy({ table, probe, log });
       this.policy = this.#naive;
     }
-    const judge = (id: TargetId) =>
-      new TargetJudge({
+    const detector = (id: TargetId) =>
+      new GrayFailureDetector({
         rule: () => service.detection,
         clock,
         log: log.child({ target: id }),
@@ -91,7 +91,7 @@
         id,
         new Gate({
           target: () => ({ slots: 4, takesWork: true }),
-          judge: kind === "adaptive" ? judge(id) : TrustingJudge,
+          detector: kind === "adaptive" ? detector(id) : AlwaysHealthyDetector,
           clock,
           grants: new GrantIds("b"),
         }),
@@ -153,7 +153,7 @@
       const { target } = picked;
       const acceptsRisk = sound === undefined ? 1 : 0;
       tried.add(target.id);
-      const replies: AskReply[] = [];
+      const replies: SlotReply[] = [];
       const ask = {
         attempt,
         target: target.id,
@@ -167,7 +167,7 @@
         isCall: false,
         bodyBytes: 0,
       };
-      const ticket = gate.ask(ask, (reply) => replies.push(reply));
+      const ticket = gate.requestSlot(ask, (reply) => replies.push(reply));
       const [reply] = replies;
       if (!reply) {
         ticket.withdraw();
@@ -337,7 +337,7 @@
     ).includes(gray);
   t.true(asked());
   if (target) {
-    rig.policy.noteSilence(target);
+    rig.policy.noteTimeout(target);
   }
   t.false(asked());
   await rig.clock.advance(500);
--- a/test/delayedRequest.test.ts
+++ b/test/delayedRequest.test.ts
@@ -5,22 +5,22 @@
 import { TargetId } from "../src/common/ids/TargetId.ts";
 import { SystemClock } from "../src/common/lifecycle/SystemClock.ts";
 import { noTracing } from "../src/common/telemetry/noTracing.ts";
-import { TrustingJudge } from "../src/sidecar/detection/TrustingJudge.ts";
+import { AlwaysHealthyDetector } from "../src/sidecar/detection/AlwaysHealthyDetector.ts";
 import { Gate } from "../src/sidecar/gate/Gate.ts";
 import { GateServer } from "../src/sidecar/gate/GateServer.ts";
 import { GrantIds } from "../src/sidecar/gate/GrantIds.ts";
-import { RunsHere } from "../src/sidecar/gate/RunsHere.ts";
+import { ActiveRuns } from "../src/sidecar/gate/ActiveRuns.ts";
 import { RunTable } from "../src/sidecar/gate/RunTable.ts";
 import { TargetRunner } from "../src/sidecar/gate/TargetRunner.ts";
-import type { AskReply } from "../src/sidecar/hop/AskReply.ts";
+import type { SlotReply } from "../src/sidecar/hop/SlotReply.ts";
 import { HopClient } from "../src/sidecar/hop/HopClient.ts";
 import { Dispatcher } from "../src/sidecar/routing/Dispatcher.ts";
 import { RetryBudgets } from "../src/sidecar/routing/RetryBudgets.ts";
 import { eventually } from "./fixtures/eventually.ts";
 import { FakeClock } from "./fixtures/FakeClock.ts";
 import { FixedPolicy } from "./fixtures/FixedPolicy.ts";
-import { HeldProxy } from "./fixtures/HeldProxy.ts";
-import { makeCourse } from "./fixtures/makeCourse.ts";
+import { DelayProxy } from "./fixtures/DelayProxy.ts";
+import { makeCallerRequest } from "./fixtures/makeCallerRequest.ts";
 import { makeRoute } from "./fixtures/makeRoute.ts";
 import { makeTarget } from "./fixtures/makeTarget.ts";
 import { results } from "./fixtures/results.ts";
@@ -36,7 +36,7 @@
   const grants = new GrantIds("this life");
   const gate = new Gate({
     target: () => ({ slots: 2, takesWork: true }),
-    judge: TrustingJudge,
+    detector: AlwaysHealthyDetector,
     clock,
     grants,
   });
@@ -44,7 +44,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs: new RunTable(clock),
-    here: new RunsHere(clock),
+    here: new ActiveRuns(clock),
     target: () => makeTarget(TARGET),
     send: async () => {
       counts.runs += 1;
@@ -57,13 +57,13 @@
   const { server } = new GateServer({ runner, tracing: noTracing, clock, log });
   server.prependListener("request", () => (counts.arrivals += 1));
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
-  const link = new HeldProxy((server.address() as AddressInfo).port);
+  const link = new DelayProxy((server.address() as AddressInfo).port);
   const address = await link.start();
   const hop = new HopClient({
-    ask: (_address, ask) => {
+    requestSlot: (_address, ask) => {
       counts.asks += 1;
-      let ticket: ReturnType<Gate["ask"]> | undefined;
-      const answer = new Promise<AskReply>((resolve) => (ticket = gate.ask(ask, resolve)));
+      let ticket: ReturnType<Gate["requestSlot"]> | undefined;
+      const answer = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(ask, resolve)));
       return { answer, giveUp: () => ticket?.withdraw() };
     },
   });
@@ -99,8 +99,12 @@
   test(`a delayed request does not run on a later grant of its attempt: ${name}`, async (t) => {
     const { link, dispatcher, counts } = await rig(t, runMs);
     const startedAt = SystemClock.now();
-    const course = makeCourse({ method: "POST", startedAt, deadlineAt: startedAt + DEADLINE_MS });
-    const answered = dispatcher.dispatch(makeRoute({ idempotent: false }), course);
+    const request = makeCallerRequest({
+      method: "POST",
+      startedAt,
+      deadlineAt: startedAt + DEADLINE_MS,
+    });
+    const answered = dispatcher.dispatch(makeRoute({ idempotent: false }), request);
     await eventually(() => link.connections[1]?.isHolding === true);
     const [delayed, join] = link.connections;
     join?.release();
--- a/test/slowLink.test.ts
+++ b/test/slowLink.test.ts
@@ -11,7 +11,7 @@
 import type { ConfigState } from "../src/control/log/ConfigState.ts";
 import { controlHandlers } from "../src/control/service/controlHandlers.ts";
 import type { ControlService } from "../src/control/service/ControlService.ts";
-import { Watchers } from "../src/control/service/Watchers.ts";
+import { DocumentWatchers } from "../src/control/service/DocumentWatchers.ts";
 import { PeerClients } from "../src/membership/PeerClients.ts";
 import { NetworkPeers } from "../src/membership/NetworkPeers.ts";
 import type { DatagramLink } from "../src/membership/DatagramLink.ts";
@@ -56,7 +56,7 @@
       return () => listeners.delete(listener);
     },
   };
-  const watchers = new Watchers(replica);
+  const watchers = new DocumentWatchers(replica);
   const server = new grpc.Server();
   server.addService(
     (loadProto().Control as grpc.ServiceClientConstructor).service,
