--- a/src/cli/explain/renderTimeline.ts
+++ b/src/cli/explain/renderTimeline.ts
@@ -4,7 +4,7 @@
 /** Fields that every line has, or that the line's heading says already. */
 const HEADING = new Set(["name", "role", "hostname", "pid", "level", "v", "attempt"]);
 
-/** A story as text for a terminal. */
+/** A timeline as text for a terminal. */
 export function renderTimeline({
   attempt,
   cause,
--- a/src/sidecar/detection/GrayFailureDetector.test.ts
+++ b/src/sidecar/detection/GrayFailureDetector.test.ts
@@ -10,7 +10,7 @@
 /** As long as a silent target is left alone, ms. */
 const EJECT_MS = 5000;
 
-/** A judge of a target that has answered well until now. */
+/** A detector for a target that has answered well until now. */
 function rig(threshold = 6) {
   const clock = new FakeClock();
   const { detection } = makeService();
--- a/src/sidecar/detection/HealthDetector.ts
+++ b/src/sidecar/detection/HealthDetector.ts
@@ -1,6 +1,6 @@
 import type { AttemptOutcome } from "./AttemptOutcome.ts";
 
-/** What a judge needs to know of a request to admit it. */
+/** What a detector needs to know of a request to admit it. */
 export interface Admissible {
   /** Another try is left if this one fails: it can tell whether the target is well. */
   readonly isExpendable: boolean;
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -84,7 +84,7 @@
  */
 export class Gate {
   readonly #deps: GateDeps;
-  readonly #line: AdmissionQueue;
+  readonly #queue: AdmissionQueue;
   readonly #slots: SlotTable;
   readonly #life = new AbortController();
   #weighedAt = -Infinity;
@@ -95,7 +95,7 @@
 
   constructor(deps: GateDeps) {
     this.#deps = deps;
-    this.#line = new AdmissionQueue(deps.order);
+    this.#queue = new AdmissionQueue(deps.order);
     this.#slots = new SlotTable(deps.clock);
   }
 
@@ -105,7 +105,7 @@
     return {
       slots: this.#deps.target()?.slots ?? 0,
       busy: this.#slots.size,
-      queued: this.#line.length,
+      queued: this.#queue.length,
       serviceMs: Math.round(this.#serviceMs),
       pace: detector.pace,
       risk: Math.round(detector.risk * 1000) / 1000,
@@ -135,15 +135,15 @@
       return { queued: false, withdraw: () => undefined };
     }
     if (this.#isIdle) {
-      this.#line.noteGrant(waiting, waiting.askedAt, this.#serviceMs);
+      this.#queue.noteGrant(waiting, waiting.askedAt, this.#serviceMs);
       this.#grant(request, answer);
       return { queued: false, withdraw: revoke };
     }
-    this.#line.add(waiting, answer);
+    this.#queue.add(waiting, answer);
     return {
       queued: true,
       withdraw: () => {
-        if (!this.#line.remove(waiting)) {
+        if (!this.#queue.remove(waiting)) {
           revoke();
         }
       },
@@ -166,7 +166,7 @@
     );
   }
 
-  /** Tells the judge of a run that takes far longer than usual; false where the time is that of a target which it called. */
+  /** Tells the detector of a run that takes far longer than usual; false where the time is that of a target which it called. */
   #noteOverdue(since: number): boolean {
     if (this.#deps.waitsForCall?.(since)) {
       return false;
@@ -195,7 +195,7 @@
     this.#weighLine();
   }
 
-  /** Where the judge thinks otherwise of the target now, what waits for it is weighed again. */
+  /** Where the detector thinks otherwise of the target now, what waits for it is weighed again. */
   #tellJudge(tell: () => void): void {
     const before = this.#standing;
     tell();
@@ -233,11 +233,11 @@
    */
   #weighLine(): void {
     const now = this.#deps.clock.now();
-    if (this.#line.length === 0 || now - this.#weighedAt < WEIGH_GAP_MS) {
+    if (this.#queue.length === 0 || now - this.#weighedAt < WEIGH_GAP_MS) {
       return;
     }
     this.#weighedAt = now;
-    this.#line.refuse(
+    this.#queue.refuse(
       (waiting) => this.#refusalOf(waiting),
       (reason, waiting) => this.#refuse(reason, waiting),
     );
@@ -292,7 +292,7 @@
       return RefusalReason.Duplicate;
     }
     const slots = this.#deps.target()?.slots ?? 0;
-    const hasNoRoom = this.#line.length >= QUEUE_PER_SLOT * slots;
+    const hasNoRoom = this.#queue.length >= QUEUE_PER_SLOT * slots;
     return !this.#isIdle && hasNoRoom ? RefusalReason.Full : undefined;
   }
 
@@ -328,7 +328,7 @@
 
   /** A slot is free, and nobody waits for it. */
   get #isIdle(): boolean {
-    return this.#freeSlots > 0 && this.#line.length === 0;
+    return this.#freeSlots > 0 && this.#queue.length === 0;
   }
 
   /** How long an ask will wait for a slot from now on, ms. */
@@ -337,7 +337,7 @@
       return 0;
     }
     const pace = { slots: this.#deps.target()?.slots ?? 1, serviceMs: this.#serviceMs };
-    return this.#line.waitMs(waiting, this.#deps.clock.now(), pace);
+    return this.#queue.waitMs(waiting, this.#deps.clock.now(), pace);
   }
 
   #refuse(reason: RefusalReason, waiting: QueuedRequest): SlotReply {
@@ -372,7 +372,7 @@
   /** Gives free slots to those whose turn it is. */
   #serveNext(): void {
     while (this.#freeSlots > 0) {
-      const turn = this.#line.next(this.#deps.clock.now(), this.#serviceMs);
+      const turn = this.#queue.next(this.#deps.clock.now(), this.#serviceMs);
       if (!turn) {
         return;
       }
@@ -393,7 +393,7 @@
     } else if (!this.#deps.detector.admits(left, this.#slots.probes)) {
       reply(this.#refuse(RefusalReason.Suspect, waiting));
     } else {
-      this.#line.noteGrant(waiting, now, this.#serviceMs);
+      this.#queue.noteGrant(waiting, now, this.#serviceMs);
       this.#grant(left, reply);
     }
   }
--- a/src/sidecar/gate/WaitEstimator.ts
+++ b/src/sidecar/gate/WaitEstimator.ts
@@ -43,19 +43,19 @@
   /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
   waitMs(
     waiting: QueuedRequest,
-    line: SlotRequestQueue,
+    queue: SlotRequestQueue,
     now: number,
     { slots, serviceMs }: Pace,
   ): number {
     const turnMs = serviceMs / Math.max(1, slots);
-    const ahead = line.ahead(waiting, now, serviceMs);
+    const ahead = queue.ahead(waiting, now, serviceMs);
     const soonMs = this.#turns(waiting, ahead) * turnMs;
     // One that will be late by its turn comes to stand with the late ones.
     if (!isLate(waiting, now + soonMs, serviceMs)) {
       return soonMs;
     }
     const lateAhead = ahead.filter((w) => isLate(w, now, serviceMs)).length;
-    const onTime = line.length - line.countLate(now, serviceMs);
+    const onTime = queue.length - queue.countLate(now, serviceMs);
     const lateTurns = (lateAhead * ASKS_THAT_STAY + 1) / this.#lateShare;
     return Math.max(soonMs, (onTime * ASKS_THAT_STAY + lateTurns) * turnMs);
   }
--- a/src/sidecar/ingress/CallerServer.test.ts
+++ b/src/sidecar/ingress/CallerServer.test.ts
@@ -212,12 +212,12 @@
     const { socket, courses, seen } = await open(t);
     socket.write(`POST /a HTTP/1.1\r\nhost: a\r\n${head}\r\n\r\n${body}`);
     await eventually(() => courses.has("/a"));
-    const course = courses.get("/a");
-    const sent = course?.req.body;
+    const request = courses.get("/a");
+    const sent = request?.req.body;
     t.is(sent === undefined ? "none" : Buffer.isBuffer(sent) ? "buffer" : "stream", kind);
     const bytes = sent === undefined ? 0 : await byteCount(sent);
     t.is(bytes, body.replace(/^[0-9a-f]+\r\n|\r\n0\r\n\r\n$/g, "").length);
-    course?.settle(done("taken"));
+    request?.settle(done("taken"));
     await eventually(() => answers(seen()).length > 0);
     t.deepEqual(answers(seen()), ["taken"]);
   });
--- a/src/sidecar/routing/SplitSampler.test.ts
+++ b/src/sidecar/routing/SplitSampler.test.ts
@@ -4,8 +4,8 @@
 
 for (const weight of [0.05, 0.25, 0.5, 0.9]) {
   test(`split: a part of weight ${String(weight)} gets nearly its share of few requests`, (t) => {
-    const draw = new SplitSampler(seededRandom(7));
-    const draws = Array.from({ length: 100 }, () => draw.next("route"));
+    const sampler = new SplitSampler(seededRandom(7));
+    const draws = Array.from({ length: 100 }, () => sampler.next("route"));
     const share = draws.filter((d) => d < weight).length / draws.length;
     t.true(Math.abs(share - weight) <= 0.02, `share ${String(share)}`);
   });
@@ -19,7 +19,7 @@
 });
 
 test("split: each route has its own sequence", (t) => {
-  const draw = new SplitSampler(() => 0);
-  t.is(draw.next("a"), draw.next("b"));
-  t.not(draw.next("a"), draw.next("c"));
+  const sampler = new SplitSampler(() => 0);
+  t.is(sampler.next("a"), sampler.next("b"));
+  t.not(sampler.next("a"), sampler.next("c"));
 });
