--- a/src/sidecar/routing/CallerRequest.ts
+++ b/src/sidecar/routing/CallerRequest.ts
@@ -3,7 +3,7 @@
 import type { RequestOrigin } from "./RequestOrigin.ts";
 import type { HeaderList } from "../forwarding/HeaderList.ts";
 
-/** A caller's request on its way to a target. */
+/** A caller's request while it is being routed to a target. */
 export interface CallerRequest {
   readonly attempt: AttemptId;
   readonly method: string;
@@ -13,10 +13,10 @@
   readonly body: Buffer | Readable | undefined;
   readonly bodyLength?: number;
   readonly origin: RequestOrigin;
-  /** When it came, by the steady clock, ms. */
+  /** Arrival time on the monotonic clock, ms. */
   readonly startedAt: number;
-  /** When its final answer is due, by the steady clock, ms. */
+  /** Deadline of the final response on the monotonic clock, ms. */
   readonly deadlineAt: number;
-  /** Aborted when the caller has left. */
+  /** Aborted when the caller disconnects. */
   readonly left: AbortSignal;
 }
--- a/src/sidecar/routing/RequestOrigin.ts
+++ b/src/sidecar/routing/RequestOrigin.ts
@@ -1,9 +1,9 @@
-/** Where a request that reaches this sidecar comes from, as far as the address of its connection tells. */
+/** Origin of a request received by this sidecar, derived from the source address of its connection. */
 export enum RequestOrigin {
-  /** The address of a target beside this sidecar: likely a call that it makes in the midst of its work. */
+  /** The address of a local target: likely a nested call that the target makes during a run. */
   TargetVm = "target-vm",
   /** Another address. */
   Elsewhere = "elsewhere",
-  /** A loopback address, which callers and targets may share, or no target is here. */
+  /** A loopback address, which callers and targets may share, or this sidecar has no local target. */
   Unknown = "unknown",
 }
