--- a/src/sidecar/routing/LinkHealth.test.ts
+++ b/src/sidecar/routing/LinkHealth.test.ts
@@ -2,22 +2,22 @@
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { LinkHealth } from "./LinkHealth.ts";
 
-test("link: silence puts others first for a while, longer each time it is found silent again", async (t) => {
+test("link: the suspect period doubles with each further missing reply, up to a limit", async (t) => {
   const clock = new FakeClock();
   const link = new LinkHealth(clock);
-  const pauses: number[] = [];
+  const periods: number[] = [];
   for (let i = 0; i < 6; i++) {
     link.noteSilence();
     const since = clock.now();
     while (link.isSuspect) {
       await clock.advance(100);
     }
-    pauses.push(clock.now() - since);
+    periods.push(clock.now() - since);
   }
-  t.deepEqual(pauses, [400, 800, 1600, 3200, 3200, 3200]);
+  t.deepEqual(periods, [400, 800, 1600, 3200, 3200, 3200]);
 });
 
-test("link: several requests that meet the same silence count once", async (t) => {
+test("link: concurrent requests without a reply extend the suspect period only once", async (t) => {
   const clock = new FakeClock();
   const link = new LinkHealth(clock);
   link.noteSilence();
@@ -27,7 +27,7 @@
   t.false(link.isSuspect);
 });
 
-test("link: an answer clears it, and the next silence starts short again", async (t) => {
+test("link: a reply clears the suspicion and resets the suspect period to its initial length", async (t) => {
   const clock = new FakeClock();
   const link = new LinkHealth(clock);
   link.noteSilence();
--- a/src/sidecar/routing/LinkHealth.ts
+++ b/src/sidecar/routing/LinkHealth.ts
@@ -1,51 +1,51 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 
-/** A silent sidecar is left alone for this long at first, ms; each time soon after twice as long... */
-const FIRST_PAUSE_MS = 400;
+/** How long a sidecar stays suspect after its first missing reply, ms. Doubles with each further one until it replies. */
+const INITIAL_SUSPECT_MS = 400;
 
-/** ...up to this, ms: a cut is then found healed within a few seconds. */
-const MAX_PAUSE_MS = 3200;
+/** Upper bound of the doubling suspect period, ms. Bounds the time to notice that a network partition healed to a few seconds. */
+const MAX_SUSPECT_MS = 3200;
 
-/** Weight of the newest answer time in the average. */
-const WEIGHT = 0.3;
+/** Weight of the newest reply time in the moving average. */
+const REPLY_TIME_WEIGHT = 0.3;
 
 /**
- * The path to one sidecar as this one sees it, from how it answers asks. A path that
- * is cut or loses packets shows as silence; it is then left to others for a while, and
- * tried again beside a path that works.
+ * Health of the network path to one other sidecar, judged by its replies to slot requests.
+ * A partition or packet loss shows as missing replies. The path is then suspect: other
+ * paths are preferred for a while, after which it is tried again alongside a working one.
  */
 export class LinkHealth {
   readonly #clock: Clock;
-  #pauseMs = FIRST_PAUSE_MS;
+  #suspectMs = INITIAL_SUSPECT_MS;
   #suspectUntil = -Infinity;
-  #answerMs = 0;
+  #replyMs = 0;
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** True while other paths are to be preferred. */
+  /** Whether other paths should be preferred. */
   get isSuspect(): boolean {
     return this.#clock.now() < this.#suspectUntil;
   }
 
-  /** How long it takes to answer an ask that need not wait, ms. */
+  /** Moving average of the reply time for slot requests that are not queued, ms. */
   get answerMs(): number {
-    return this.#answerMs;
+    return this.#replyMs;
   }
 
-  /** It answered, after `ms`. */
+  /** Records a reply that took `ms`, and clears the suspicion. */
   noteAnswer(ms: number): void {
-    this.#answerMs += WEIGHT * (ms - this.#answerMs);
+    this.#replyMs += REPLY_TIME_WEIGHT * (ms - this.#replyMs);
     this.#suspectUntil = -Infinity;
-    this.#pauseMs = FIRST_PAUSE_MS;
+    this.#suspectMs = INITIAL_SUSPECT_MS;
   }
 
-  /** It did not answer in time, or the connection failed. */
+  /** Records a missing reply or a failed connection. */
   noteSilence(): void {
     if (!this.isSuspect) {
-      this.#suspectUntil = this.#clock.now() + this.#pauseMs;
-      this.#pauseMs = Math.min(this.#pauseMs * 2, MAX_PAUSE_MS);
+      this.#suspectUntil = this.#clock.now() + this.#suspectMs;
+      this.#suspectMs = Math.min(this.#suspectMs * 2, MAX_SUSPECT_MS);
     }
   }
 }
