--- a/src/sidecar/routing/RemoteRun.test.ts
+++ b/src/sidecar/routing/RemoteRun.test.ts
@@ -16,27 +16,27 @@
 function rig(idempotent: boolean, over: Parameters<typeof makeCallerRequest>[0] = {}) {
   const clock = new FakeClock();
   const hop = new FakeHop();
-  let silences = 0;
+  let contactLosses = 0;
   const start = () =>
     new RemoteRun(
-      { hop, callerService: "desk", clock, log, onSilence: () => (silences += 1) },
+      { hop, callerService: "desk", clock, log, onSilence: () => (contactLosses += 1) },
       makeRoute({ idempotent }),
       makeCallerRequest({ deadlineAt: 5000, ...over }),
       { target: makeTarget("x"), id: GrantId("b.1") },
     );
-  return { clock, hop, start, silences: () => silences };
+  return { clock, hop, start, contactLosses: () => contactLosses };
 }
 
-test("run: the answer that came is the result", async (t) => {
+test("run: resolves with the response of the target", async (t) => {
   const { hop, start } = rig(false);
   const run = start();
   hop.runs[0]?.call.answer(results.done);
   t.is((await run.result).verdict.kind, "done");
 });
 
-test("run: a booking whose connection is reset is asked for again, and its answer fetched", async (t) => {
-  // Story: the connection between two sidecars is reset while a booking runs. The
-  // booking must not be sent again, and its caller should still get its answer.
+test("run: a booking is reattached rather than resent when its connection is reset", async (t) => {
+  // Guards against running a booking twice, or losing its response, when the connection
+  // between two sidecars is reset during the run.
   const { clock, hop, start } = rig(false);
   const run = start();
   hop.runs[0]?.call.fail();
@@ -47,7 +47,7 @@
   t.is(hop.runs.length, 1);
 });
 
-test("run: while the other side cannot be reached it is asked again and again", async (t) => {
+test("run: reattaching is repeated while the other sidecar is unreachable", async (t) => {
   const { clock, hop, start } = rig(false);
   const run = start();
   hop.runs[0]?.call.fail();
@@ -61,24 +61,24 @@
   t.is((await run.result).verdict.kind, "done");
 });
 
-test("run: a connection that falls silent is left for a new one", async (t) => {
-  // Story: a connection is open and nothing comes over it any more. Only the missing
-  // signs of life show it.
-  const { clock, hop, start, silences } = rig(false);
+test("run: a connection without heartbeats is replaced by a new one", async (t) => {
+  // Guards against waiting on a half-open connection: it stays open but delivers nothing,
+  // which only the missing heartbeats show.
+  const { clock, hop, start, contactLosses } = rig(false);
   const run = start();
   for (let i = 0; i < 5; i++) {
     await clock.advance(300);
     hop.runs[0]?.call.onAlive();
   }
-  t.is(hop.joins.length, 0, "while it is heard of it is waited for");
+  t.is(hop.joins.length, 0, "no reattach while heartbeats arrive");
   await clock.advance(750);
   t.is(hop.joins.length, 1);
-  t.is(silences(), 1);
+  t.is(contactLosses(), 1);
   hop.joins[0]?.call.answer(results.done);
   t.is((await run.result).verdict.kind, "done");
 });
 
-test("run: a lookup in doubt ends at once, since it can be sent elsewhere", async (t) => {
+test("run: a lookup in doubt ends at once, since it can be sent to another target", async (t) => {
   const { clock, hop, start } = rig(true);
   const run = start();
   hop.runs[0]?.call.fail();
@@ -88,10 +88,10 @@
 });
 
 for (const idempotent of [true, false]) {
-  test(`run: ${idempotent ? "a lookup" : "a booking"} for which no connection opens has not run`, async (t) => {
-    // Story: the VM of the target that gave a slot is cut off, or too busy to take connections. Lookups ended as in
-    // doubt, and bookings were asked for until their time was up, though nothing had been sent.
-    const { clock, hop, start, silences } = rig(idempotent);
+  test(`run: ${idempotent ? "a lookup" : "a booking"} is reported as not run when no connection opens`, async (t) => {
+    // The VM of the target that granted the slot is partitioned, or too busy to accept connections. Guards against
+    // ending lookups as in doubt, and reattaching bookings until their deadline, though nothing was sent.
+    const { clock, hop, start, contactLosses } = rig(idempotent);
     const run = start();
     hop.runs[0]?.call.fail(new NotSentError(new Error("connect timeout")));
     await clock.advance(0);
@@ -99,11 +99,11 @@
     t.is(verdict.kind, "not-run");
     t.is(outcome, AttemptOutcome.NoAnswer);
     t.is(hop.joins.length, 0);
-    t.is(silences(), 1, "the path is known to be bad");
+    t.is(contactLosses(), 1, "the path is reported as failing");
   });
 }
 
-test("run: without word by the deadline it may have run, and time ran out", async (t) => {
+test("run: a run without a result by its deadline is in doubt and timed out", async (t) => {
   const { clock, hop, start } = rig(false, { deadlineAt: 1000 });
   const run = start();
   hop.runs[0]?.call.fail();
@@ -114,16 +114,16 @@
   t.true(hop.joins.every((j) => j.call.givenUp));
 });
 
-test("run: when the caller leaves, nothing goes on waiting for it", async (t) => {
-  const leave = new AbortController();
-  const { hop, start } = rig(true, { left: leave.signal });
+test("run: is cancelled when the caller disconnects", async (t) => {
+  const caller = new AbortController();
+  const { hop, start } = rig(true, { left: caller.signal });
   const run = start();
-  leave.abort();
+  caller.abort();
   t.is((await run.result).outcome, AttemptOutcome.Cancelled);
   t.true(hop.runs[0]?.call.givenUp);
 });
 
-test("run: the time that is left goes with it, less what the way back takes", (t) => {
+test("run: the remaining time that is sent leaves a margin for the return path", (t) => {
   const { hop, start } = rig(false, { deadlineAt: 800 });
   start();
   const remaining = hop.runs[0]?.req.remainingMs ?? 0;
--- a/src/sidecar/routing/RemoteRun.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -11,32 +11,32 @@
 import type { Grant } from "./SlotFinder.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
-/** A run is signalled alive every 300 ms; silent for longer than this, its connection or the path is at fault, ms. */
-const SILENCE_MS = 750;
+/** Longest gap between heartbeats of a run, ms. They are sent every 300 ms; a longer gap means that the connection or the path failed. */
+const HEARTBEAT_TIMEOUT_MS = 750;
 
-/** How long one attempt to get the answer of a lost connection may take before the next, ms. */
-const JOIN_MS = 500;
+/** Longest wait for one reattach attempt before the next, ms. */
+const REATTACH_TIMEOUT_MS = 500;
 
 /**
- * The other side's time is up this much sooner, ms: its word on how the run ended then
- * arrives before this side has to answer without it. A round trip takes 3.
+ * How much earlier the deadline sent to the other sidecar is, ms. Its report of how the
+ * run ended then arrives before this sidecar has to respond without it. A round trip takes 3 ms.
  */
-const MARGIN_MS = 20;
+const DEADLINE_MARGIN_MS = 20;
 
 interface RemoteRunDeps {
   readonly hop: Pick<HopLink, "run" | "join">;
   readonly callerService: string;
   readonly clock: Clock;
   readonly log: bunyan;
-  /** Told when the sidecar beside the target falls silent. */
+  /** Called when contact with the sidecar local to the target is lost. */
   readonly onSilence: () => void;
 }
 
 /**
- * One run at one target, as seen from the sidecar that sent it there. Where the
- * connection is lost or falls silent, work that must not repeat is asked for again
- * over new connections until its outcome is known or its time is up; idempotent work
- * is given up on, since it can be sent elsewhere.
+ * One run at one target, as seen by the sidecar that sent it there. When the connection
+ * is lost or heartbeats stop, a non-idempotent run is reattached over new connections
+ * until its outcome is known or its deadline passes. An idempotent run is abandoned, since
+ * the request can be sent to another target.
  */
 export class RemoteRun {
   readonly #deps: RemoteRunDeps;
@@ -45,11 +45,11 @@
   readonly #grant: Grant;
   readonly #settle: (result: ForwardResult) => void;
   readonly #pending = new Set<PendingCall<ForwardResult>>();
-  #silenceTimer: Timer | undefined;
+  #livenessTimer: Timer | undefined;
   readonly #deadlineTimer: Timer;
-  #done = false;
+  #finished = false;
 
-  /** Resolves once the outcome is known, or the time is up. */
+  /** Resolves once the outcome is known, the deadline has passed or the run is given up. */
   readonly result: Promise<ForwardResult>;
 
   constructor(deps: RemoteRunDeps, route: RouteMatch, req: CallerRequest, grant: Grant) {
@@ -61,24 +61,24 @@
     this.result = new Promise((resolve) => (settle = resolve));
     this.#settle = settle;
     this.#deadlineTimer = deps.clock.after(req.deadlineAt - deps.clock.now(), () => {
-      this.#end(this.#inDoubt("no answer in time", true, AttemptOutcome.TimedOut));
+      this.#finish(this.#inDoubt("no answer in time", true, AttemptOutcome.TimedOut));
     });
-    req.left.addEventListener("abort", this.#onLeft);
-    this.#watch(deps.hop.run(grant.target.hopAddress, this.#hopRequest(), this.#onAlive), true);
-    this.#armSilence();
+    req.left.addEventListener("abort", this.#onCallerAbort);
+    this.#track(deps.hop.run(grant.target.hopAddress, this.#hopRequest(), this.#onHeartbeat), true);
+    this.#restartHeartbeatTimer();
   }
 
-  /** Stops waiting; idempotent work is cancelled at the target. */
+  /** Stops waiting for the result; an idempotent run is cancelled at the target. */
   giveUp(): void {
-    this.#end(this.#inDoubt("given up", false, AttemptOutcome.Cancelled));
+    this.#finish(this.#inDoubt("given up", false, AttemptOutcome.Cancelled));
   }
 
-  readonly #onLeft = (): void => {
-    this.#end(this.#inDoubt("the caller has left", false, AttemptOutcome.Cancelled));
+  readonly #onCallerAbort = (): void => {
+    this.#finish(this.#inDoubt("the caller has left", false, AttemptOutcome.Cancelled));
   };
 
-  readonly #onAlive = (): void => {
-    this.#armSilence();
+  readonly #onHeartbeat = (): void => {
+    this.#restartHeartbeatTimer();
   };
 
   #hopRequest() {
@@ -92,55 +92,55 @@
       headers,
       body,
       bodyLength,
-      remainingMs: deadlineAt - this.#deps.clock.now() - MARGIN_MS,
+      remainingMs: deadlineAt - this.#deps.clock.now() - DEADLINE_MARGIN_MS,
       callerService: this.#deps.callerService,
       idempotent: this.#route.idempotent,
       echoHeader: this.#route.service.echoHeader,
     };
   }
 
-  #watch(pending: PendingCall<ForwardResult>, isFirst: boolean): void {
+  #track(pending: PendingCall<ForwardResult>, isFirst: boolean): void {
     this.#pending.add(pending);
     pending.answer.then(
       (result) => {
-        // Not to be given up with the others: a large answer is still on its way in it.
+        // Must not be cancelled with the others: it may still be streaming a large response body.
         this.#pending.delete(pending);
-        this.#end(result);
+        this.#finish(result);
       },
       (err: unknown) => {
         this.#pending.delete(pending);
-        if (!this.#done && isFirst && err instanceof NotSentError) {
+        if (!this.#finished && isFirst && err instanceof NotSentError) {
           this.#onNotSent(err);
-        } else if (!this.#done && isFirst) {
+        } else if (!this.#finished && isFirst) {
           const reason = err instanceof Error ? err.message : String(err);
-          this.#onLost(`the connection was lost: ${reason}`);
+          this.#onContactLost(`the connection was lost: ${reason}`);
         }
       },
     );
   }
 
   /**
-   * No connection could be opened, so the request has not run, and can go to another target. Taken for in doubt, its
-   * caller could not send it again; work that must not repeat was asked for until its time was up.
+   * No connection could be opened, so the request has not run and can go to another target. If it were reported as in
+   * doubt, the caller could not resend it, and a non-idempotent run would be reattached in vain until its deadline.
    */
   #onNotSent({ message: reason }: NotSentError): void {
     const { attempt } = this.#req;
     this.#deps.log.info({ attempt, target: this.#grant.target.id, reason }, "run not sent");
     this.#deps.onSilence();
     const verdict = { kind: "not-run", reason, retryAfterMs: RETRY_AFTER_MS } as const;
-    this.#end({ verdict, outcome: AttemptOutcome.NoAnswer });
+    this.#finish({ verdict, outcome: AttemptOutcome.NoAnswer });
   }
 
-  #armSilence(): void {
-    this.#silenceTimer?.cancel();
-    if (!this.#done) {
-      this.#silenceTimer = this.#deps.clock.after(SILENCE_MS, () => {
-        this.#onLost("the connection fell silent");
+  #restartHeartbeatTimer(): void {
+    this.#livenessTimer?.cancel();
+    if (!this.#finished) {
+      this.#livenessTimer = this.#deps.clock.after(HEARTBEAT_TIMEOUT_MS, () => {
+        this.#onContactLost("the connection fell silent");
       });
     }
   }
 
-  #onLost(reason: string): void {
+  #onContactLost(reason: string): void {
     const { attempt } = this.#req;
     const { target } = this.#grant;
     this.#deps.log.info(
@@ -149,25 +149,25 @@
     );
     this.#deps.onSilence();
     if (this.#route.idempotent) {
-      this.#end(this.#inDoubt(reason, false));
+      this.#finish(this.#inDoubt(reason, false));
     } else {
-      this.#join();
+      this.#reattach();
     }
   }
 
-  /** Asks for the answer over a new connection, again and again until one of them gives it. */
-  #join(): void {
-    this.#silenceTimer?.cancel();
-    if (this.#done) {
+  /** Asks for the result over a new connection, and repeats that until one attempt returns it. */
+  #reattach(): void {
+    this.#livenessTimer?.cancel();
+    if (this.#finished) {
       return;
     }
     const { target, id } = this.#grant;
-    const name = { attempt: this.#req.attempt, target: target.id, grant: id };
-    const join = this.#deps.hop.join(target.hopAddress, name, this.#onAlive);
-    this.#watch(join, false);
-    this.#silenceTimer = this.#deps.clock.after(JOIN_MS, () => {
-      join.giveUp();
-      this.#join();
+    const grant = { attempt: this.#req.attempt, target: target.id, grant: id };
+    const pending = this.#deps.hop.join(target.hopAddress, grant, this.#onHeartbeat);
+    this.#track(pending, false);
+    this.#livenessTimer = this.#deps.clock.after(REATTACH_TIMEOUT_MS, () => {
+      pending.giveUp();
+      this.#reattach();
     });
   }
 
@@ -180,14 +180,14 @@
     };
   }
 
-  #end(result: ForwardResult): void {
-    if (this.#done) {
+  #finish(result: ForwardResult): void {
+    if (this.#finished) {
       return;
     }
-    this.#done = true;
-    this.#silenceTimer?.cancel();
+    this.#finished = true;
+    this.#livenessTimer?.cancel();
     this.#deadlineTimer.cancel();
-    this.#req.left.removeEventListener("abort", this.#onLeft);
+    this.#req.left.removeEventListener("abort", this.#onCallerAbort);
     for (const pending of this.#pending) {
       pending.giveUp();
     }
