--- a/src/sidecar/routing/RetryBudget.test.ts
+++ b/src/sidecar/routing/RetryBudget.test.ts
@@ -6,8 +6,8 @@
 
 const rule = { ratio: 0.2, windowMs: 10_000, slack: 58 };
 
-/** The part of a sidecar that has been up for long, one of so many, that rounds its share down. */
-const openBudget = (
+/** The budget of a sidecar that started long ago, in a fleet of `members`, and by default rounds its share down. */
+const makeBudget = (
   clock: FakeClock,
   members: number,
   over: Partial<ConstructorParameters<typeof RetryBudget>[0]> = {},
@@ -17,22 +17,22 @@
     clock,
     members: () => members,
     startedAt: -Infinity,
-    rounding: 1,
+    roundingThreshold: 1,
     ...over,
   });
 
 function tryRetry(budget: RetryBudget): boolean {
-  const hasRoom = budget.hasRoomFor(1);
+  const hasRoom = budget.canSpend(1);
   if (hasRoom) {
     budget.spend(1);
   }
   return hasRoom;
 }
 
-test("in no window does the fleet send more extras than its rule allows", async (t) => {
-  // Story: a service sheds most of what it is sent, and every sidecar tries again as
-  // often as it may, after a quiet spell and with load that comes and goes. What was
-  // saved up in the quiet spell once went into the storm on top of its own share.
+test("budget: the fleet's extra requests stay within the rule in every window", async (t) => {
+  // A service sheds most requests, and every sidecar retries as often as it may, after a
+  // quiet period and under varying load. Guards against spending an allowance saved up in
+  // the quiet period on top of the current one.
   const load = fc.array(fc.record({ gapMs: fc.integer({ min: 1, max: 900 }), tries: fc.nat(3) }), {
     minLength: 30,
     maxLength: 120,
@@ -42,7 +42,7 @@
       const clock = new FakeClock();
       const random = seededRandom(members);
       const budgets = Array.from({ length: members }, () =>
-        openBudget(clock, members, { rounding: 1 - random() }),
+        makeBudget(clock, members, { roundingThreshold: 1 - random() }),
       );
       const first: number[] = [];
       const extra: number[] = [];
@@ -69,8 +69,8 @@
   t.pass();
 });
 
-test("a sidecar with traffic of its own has extras to spend", (t) => {
-  const budget = openBudget(new FakeClock(), 30);
+test("budget: a sidecar's own traffic earns it extra requests", (t) => {
+  const budget = makeBudget(new FakeClock(), 30);
   for (let n = 0; n < 100; n++) {
     budget.onFirstTry();
   }
@@ -81,9 +81,9 @@
   t.true(extras >= 14, `${extras}`);
 });
 
-test("one that knows of nobody else does not take the whole fleet's slack", (t) => {
-  // Story: a cut leaves a sidecar alone; on its side of it, nobody else is seen.
-  const budget = openBudget(new FakeClock(), 1);
+test("budget: a sidecar that knows no other member does not take the whole fleet's slack", (t) => {
+  // A network partition isolates the sidecar, so that it sees no other member.
+  const budget = makeBudget(new FakeClock(), 1);
   budget.onFirstTry();
   let extras = 0;
   while (tryRetry(budget)) {
@@ -92,13 +92,14 @@
   t.true(extras <= 6, `${extras}`);
 });
 
-test("sidecars that start again do not have the fleet's slack twice in one window", async (t) => {
-  // Story: a storm of refusals, and a rolling restart in the midst of it. Each sidecar had used its share of the
-  // slack when it was stopped, and had the whole of it again once it was back: the window then held both.
+test("budget: restarted sidecars do not spend the fleet's slack twice in one window", async (t) => {
+  // A rolling restart during a storm of refusals. Guards against a sidecar that spends its share of the slack, restarts,
+  // and spends the share again within the same window.
   const members = 24;
   const clock = new FakeClock();
   const random = seededRandom(5);
-  const open = () => openBudget(clock, members, { startedAt: clock.now(), rounding: 1 - random() });
+  const start = () =>
+    makeBudget(clock, members, { startedAt: clock.now(), roundingThreshold: 1 - random() });
   const extras: number[] = [];
   const spend = (budget: RetryBudget) => {
     while (tryRetry(budget)) {
@@ -106,24 +107,24 @@
     }
   };
   await clock.advance(2 * rule.windowMs);
-  const first = Array.from({ length: members }, open);
+  const first = Array.from({ length: members }, start);
   await clock.advance(rule.windowMs);
   first.forEach(spend);
   await clock.advance(rule.windowMs / 2);
-  Array.from({ length: members }, open).forEach(spend);
-  t.true(extras.length > 0, "there is a slack");
-  t.true(extras.length <= rule.slack, `${extras.length} extras with no first try`);
+  Array.from({ length: members }, start).forEach(spend);
+  t.true(extras.length > 0, "the slack allows some extra requests");
+  t.true(extras.length <= rule.slack, `${extras.length} extra requests without a first try`);
 });
 
-test("a fleet has the use of its whole share, though each sidecar's is a fraction", (t) => {
-  // Story: 24 sidecars, a fifth of 18 requests each and a part of the slack that is under two. With fractions cut
-  // off, a third of what the fleet may send was never sent.
+test("budget: rounding of fractional shares does not shrink the fleet's allowance", (t) => {
+  // 24 sidecars, each allowed a fifth of 18 requests and a share of the slack below two. With fractions rounded
+  // down, a third of the fleet's allowance was never used.
   const members = 24;
   const random = seededRandom(7);
   let extras = 0;
   let allowed = 0;
   for (let n = 0; n < members; n++) {
-    const budget = openBudget(new FakeClock(), members, { rounding: 1 - random() });
+    const budget = makeBudget(new FakeClock(), members, { roundingThreshold: 1 - random() });
     for (let i = 0; i < 18; i++) {
       budget.onFirstTry();
     }
--- a/src/sidecar/routing/RetryBudget.ts
+++ b/src/sidecar/routing/RetryBudget.ts
@@ -1,42 +1,42 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import { SlidingWindowSum } from "./SlidingWindowSum.ts";
 
-/** How many extra requests a service may be sent beside its callers' own, over the whole fleet. */
+/** Limit on the extra requests (retries and hedges) that the whole fleet may send to a service in a sliding window. */
 export interface RetryBudgetRule {
-  /** Extras, as a share of the service's requests in a window. */
+  /** Extra requests allowed per first try in the window. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Extras in a window besides, by all sidecars together. */
+  /** Extra requests allowed per window regardless of traffic, shared by all sidecars. */
   readonly slack: number;
 }
 
 /**
- * Part of the allowance that is used: the calls that a repeated run makes are reckoned by their mean, rounding
- * makes shares a little larger or smaller, and sidecars do not all know the same number of members.
+ * Part of the allowance that is used. The rest absorbs errors: nested calls of a repeated run are counted by their
+ * mean, rounding makes shares slightly larger or smaller, and sidecars may disagree on the number of members.
  */
-const USED_SHARE = 0.85;
+const SAFETY_FACTOR = 0.85;
 
-/** Members that the slack is shared by, at least: a sidecar that was just started knows few of them. */
+/** Minimum number of members by which the slack is divided: a sidecar that has just started knows few of them. */
 const MIN_MEMBERS = 8;
 
 interface RetryBudgetDeps {
   readonly rule: () => RetryBudgetRule;
   readonly clock: Clock;
-  /** How many sidecars share the slack, those counted that were lost lately. */
+  /** Number of sidecars that share the slack, including those lost recently. */
   readonly members: () => number;
-  /** Start of this process, by the clock, ms. */
+  /** Start time of this process on `clock`, ms. */
   readonly startedAt: number;
-  /** Of the last extra request, the part that there must be room for: above 0, at most 1, and another in each process. */
-  readonly rounding: number;
+  /** Smallest fraction of an extra request that is rounded up to a whole one, in (0, 1]; drawn at random in each process. */
+  readonly roundingThreshold: number;
 }
 
 /**
- * One sidecar's part of a service's retry budget, so that a sick service is not hit by
- * a retry storm (in the manner of gRPC's retry throttling, gRFC A6). Counted over a
- * sliding window: extras never exceed their share of the first tries in the same
- * window, so nothing that was saved up in a quiet spell can be spent in a storm. Each
- * sidecar keeps to its own requests, and to its part of the fleet's slack; the fleet
- * as a whole then keeps to the rule without counting together.
+ * One sidecar's share of a service's retry budget, which protects a failing service from
+ * retry storms (similar to gRPC's retry throttling, gRFC A6). Counted over a sliding
+ * window: extra requests never exceed their ratio to the first tries in the same window,
+ * so an allowance left unused in a quiet period cannot be spent in a storm. Each sidecar
+ * limits itself by its own first tries and its share of the fleet's slack, so the fleet
+ * keeps to the rule without coordination.
  */
 export class RetryBudget {
   readonly #deps: RetryBudgetDeps;
@@ -50,23 +50,23 @@
     this.#extras = new SlidingWindowSum(windowMs);
   }
 
-  /** Records a first try of a caller's own request. */
+  /** Records the first try of a caller's request. */
   onFirstTry(): void {
     this.#firstTries.add(1, this.#deps.clock.now());
   }
 
   /**
-   * Whether `n` extra requests may be made now; part of one where that is told by a mean. A share is a few requests
-   * and a fraction; were the fraction always cut off, a fleet of 24 would use two thirds of what it has. Each
-   * process rounds at a place of its own instead, and the fleet as a whole neither gains nor loses by it.
+   * Whether `n` extra requests may be sent now; `n` is fractional where it is a mean. A sidecar's share is a few
+   * requests and a fraction; if the fraction were always rounded down, a fleet of 24 would use only two thirds of its
+   * budget. Each process rounds at its own random threshold instead, which evens out over the fleet.
    */
-  hasRoomFor(n: number): boolean {
+  canSpend(n: number): boolean {
     const { extras, allowed } = this.figures;
-    return extras + n * this.#deps.rounding <= allowed;
+    return extras + n * this.#deps.roundingThreshold <= allowed;
   }
 
-  /** Whether `n` extra requests may be made now by another sidecar: for that, a fraction that is left is not rounded up. */
-  hasRoomToLend(n: number): boolean {
+  /** Whether `n` extra requests may be lent to another sidecar now; for lending, a fractional remainder is not rounded up. */
+  canLend(n: number): boolean {
     const { extras, allowed } = this.figures;
     return extras + n <= allowed;
   }
@@ -76,19 +76,19 @@
     this.#extras.add(n, this.#deps.clock.now());
   }
 
-  /** What is counted in the window that ends now, and how many extras that allows. */
+  /** First tries and extra requests in the window that ends now, and the number of extra requests allowed in it. */
   get figures(): { firstTries: number; extras: number; allowed: number } {
     const now = this.#deps.clock.now();
     const firstTries = this.#firstTries.valueAt(now);
-    const allowed = USED_SHARE * (this.#deps.rule().ratio * firstTries + this.#ownSlack(now));
+    const allowed = SAFETY_FACTOR * (this.#deps.rule().ratio * firstTries + this.#slackShare(now));
     return { firstTries, extras: this.#extras.valueAt(now), allowed };
   }
 
   /**
-   * This sidecar's part of the slack: none for the first window of its process. The life before may have used
-   * it, and the window would hold both: 96 extras for a slack of 58, had a fleet of 24 been restarted in a storm.
+   * This sidecar's share of the slack: 0 during the first window of its process. Its previous incarnation may have
+   * used its share in the same window: 96 extra requests for a slack of 58 when a fleet of 24 restarts in a storm.
    */
-  #ownSlack(now: number): number {
+  #slackShare(now: number): number {
     const { slack, windowMs } = this.#deps.rule();
     const isNew = now - this.#deps.startedAt < windowMs;
     return isNew ? 0 : slack / Math.max(MIN_MEMBERS, this.#deps.members());
--- a/src/sidecar/routing/RetryBudgets.test.ts
+++ b/src/sidecar/routing/RetryBudgets.test.ts
@@ -12,8 +12,8 @@
 const checks = route("desk");
 const bookings = route("bookings");
 
-/** Budgets of a sidecar that has seen so many callers' requests for the desk and for bookings. */
-function rig(checksSeen: number, bookingsSeen: number) {
+/** Budgets of a sidecar that has recorded the given numbers of first tries for the desk and for bookings. */
+function rig(checkTries: number, bookingTries: number) {
   const budgets = new RetryBudgets({
     rule: () => RULE,
     members: () => 8,
@@ -21,69 +21,70 @@
     startedAt: 0,
     random: () => 0,
   });
-  for (let n = 0; n < checksSeen; n++) {
+  for (let n = 0; n < checkTries; n++) {
     budgets.onFirstTry(checks);
   }
-  for (let n = 0; n < bookingsSeen; n++) {
+  for (let n = 0; n < bookingTries; n++) {
     budgets.onFirstTry(bookings);
   }
   return budgets;
 }
 
+/** Spends the budget on retries of one route; returns their number. */
 const spendAll = (budgets: RetryBudgets, on: ReturnType<typeof route>) => {
-  let extras = 0;
+  let retries = 0;
   while (budgets.tryRetry(on)) {
-    extras += 1;
+    retries += 1;
   }
-  return extras;
+  return retries;
 };
 
 const cases: readonly {
   name: string;
   calls: readonly (readonly [service: string, mean: number])[];
-  bookingsSeen: number;
-  checksAgain: number;
-  bookingsAgain: number;
+  bookingTries: number;
+  checkRetries: number;
+  bookingRetries: number;
 }[] = [
-  { name: "no calls", calls: [], bookingsSeen: 100, checksAgain: 17, bookingsAgain: 17 },
+  { name: "no nested calls", calls: [], bookingTries: 100, checkRetries: 17, bookingRetries: 17 },
   {
-    name: "calls that take from what there is for bookings",
+    name: "nested calls that use part of the bookings' budget",
     calls: [["bookings", 0.5]],
-    bookingsSeen: 100,
-    checksAgain: 17,
-    bookingsAgain: 8,
+    bookingTries: 100,
+    checkRetries: 17,
+    bookingRetries: 8,
   },
   {
-    name: "calls that there is no room for",
+    name: "nested calls that exhaust the bookings' budget",
     calls: [["bookings", 1.5]],
-    bookingsSeen: 100,
-    checksAgain: 11,
-    bookingsAgain: 0,
+    bookingTries: 100,
+    checkRetries: 11,
+    bookingRetries: 0,
   },
   {
-    name: "calls of a service that has no requests of its own here",
+    name: "nested calls to a service without first tries at this sidecar",
     calls: [["bookings", 1.5]],
-    bookingsSeen: 0,
-    checksAgain: 0,
-    bookingsAgain: 0,
+    bookingTries: 0,
+    checkRetries: 0,
+    bookingRetries: 0,
   },
 ];
 
-for (const { name, calls, bookingsSeen, checksAgain, bookingsAgain } of cases) {
-  test(`budgets: checks that are sent again, with ${name}`, (t) => {
-    // Story: the desk's targets fail, and those of the booking service refuse. A check that is sent again makes its
-    // calls to the booking service again, on top of that service's own repeats.
-    const budgets = rig(100, bookingsSeen);
+for (const { name, calls, bookingTries, checkRetries, bookingRetries } of cases) {
+  test(`budgets: retried checks with ${name}`, (t) => {
+    // The desk's targets fail and the booking service's targets refuse requests. Guards against exceeding the budget of
+    // the booking service: a retried check repeats its nested calls to it, on top of that service's own retries.
+    const budgets = rig(100, bookingTries);
     budgets.noteCalls(checks, new Map(calls));
-    t.is(spendAll(budgets, checks), checksAgain);
-    t.is(spendAll(budgets, bookings), bookingsAgain);
+    t.is(spendAll(budgets, checks), checkRetries);
+    t.is(spendAll(budgets, bookings), bookingRetries);
   });
 }
 
-test("budgets: the ratio that the document gives a service holds for calls to it too", (t) => {
+test("budgets: a service's configured ratio also limits nested calls to it", (t) => {
   const budgets = rig(100, 0);
   budgets.noteCalls(checks, new Map([["ledger", 1]]));
-  t.false(budgets.tryRetry(checks), "nothing is known of the ledger yet");
+  t.false(budgets.tryRetry(checks), "the ledger has no first tries yet");
   const ledger = route("ledger", 0.1);
   for (let n = 0; n < 100; n++) {
     budgets.onFirstTry(ledger);
@@ -91,7 +92,7 @@
   t.is(spendAll(budgets, ledger), 8);
 });
 
-test("budgets: what runs call is told by the last few answers", (t) => {
+test("budgets: the mean of nested calls follows the most recent reports", (t) => {
   const budgets = rig(100, 100);
   budgets.noteCalls(checks, new Map([["bookings", 2]]));
   for (let n = 0; n < 30; n++) {
--- a/src/sidecar/routing/RetryBudgets.ts
+++ b/src/sidecar/routing/RetryBudgets.ts
@@ -4,39 +4,39 @@
 import type { RetryCost } from "./RetryCost.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
-/** Weight of the newest word on the calls that a run makes: about the last five count. */
-const MEANS_WEIGHT = 0.2;
+/** Weight of the newest report of nested calls in the moving average: about the last five reports count. */
+const MEAN_CALLS_WEIGHT = 0.2;
 
 interface RetryBudgetsDeps {
-  /** Of services that the document says nothing else of. */
+  /** Rule for services whose retry ratio the operator document does not set. */
   readonly rule: () => RetryBudgetRule;
-  /** Sidecars that share the slack, those counted that were lost lately. */
+  /** Number of sidecars that share the slack, including those lost recently. */
   readonly members: () => number;
   readonly clock: Clock;
-  /** Start of this process, by the clock, ms. */
+  /** Start time of this process on `clock`, ms. */
   readonly startedAt: number;
-  /** In [0, 1); tests pass a seeded one. */
+  /** Returns a number in [0, 1); tests pass a seeded generator. */
   readonly random: () => number;
 }
 
 /**
- * This sidecar's parts of the services' retry budgets. A request that is sent again has its calls made again,
- * and these are repeats at the services called: it takes from the budgets of all of them, and is sent only where
- * all have room. Noted only once they had been made, the calls would go beyond what the fleet may send: nothing can
- * take them back.
+ * This sidecar's shares of the services' retry budgets. A retried request repeats its nested calls, which are extra
+ * requests at the called services. A retry is therefore charged to the budgets of all these services in advance, and
+ * sent only if all of them allow it. Charged after they were made, nested calls could exceed the fleet's budget,
+ * because they cannot be undone.
  */
 export class RetryBudgets {
   readonly #deps: RetryBudgetsDeps;
   readonly #budgets = new Map<string, RetryBudget>();
   readonly #ratios = new Map<string, number>();
-  /** Calls that a run at a service's targets makes, on average, by the names of both. */
-  readonly #means = new Map<string, Map<string, number>>();
+  /** Mean number of nested calls per run, by the name of the service that runs and then of the service called. */
+  readonly #meanCalls = new Map<string, Map<string, number>>();
 
   constructor(deps: RetryBudgetsDeps) {
     this.#deps = deps;
   }
 
-  /** Records a caller's own request. */
+  /** Records the first try of a caller's request. */
   onFirstTry({ service, budgetRatio }: RouteMatch): void {
     if (budgetRatio !== undefined) {
       this.#ratios.set(service.name, budgetRatio);
@@ -44,22 +44,22 @@
     this.#budget(service.name).onFirstTry();
   }
 
-  /** What the sidecar beside a target of the service tells of its runs. */
+  /** Records the mean nested calls per run that a sidecar local to a target of the service reports. */
   noteCalls({ service }: RouteMatch, means: CallMeans): void {
-    const known = this.#means.get(service.name) ?? new Map<string, number>();
-    this.#means.set(service.name, known);
+    const known = this.#meanCalls.get(service.name) ?? new Map<string, number>();
+    this.#meanCalls.set(service.name, known);
     for (const called of new Set([...known.keys(), ...means.keys()])) {
       const before = known.get(called) ?? means.get(called) ?? 0;
-      known.set(called, before + MEANS_WEIGHT * ((means.get(called) ?? 0) - before));
+      known.set(called, before + MEAN_CALLS_WEIGHT * ((means.get(called) ?? 0) - before));
     }
   }
 
-  /** A further send of a request on the route may be made now. */
+  /** Whether a request on the route may be retried or hedged now. */
   hasRoom(route: RouteMatch): boolean {
-    return this.costs(route).every(({ service, n }) => this.#budget(service).hasRoomFor(n));
+    return this.costs(route).every(({ service, n }) => this.#budget(service).canSpend(n));
   }
 
-  /** Takes leave for a further send of a request on the route; false when there is none left. */
+  /** Charges the budgets for one retry or hedge of a request on the route; false if they do not allow it. */
   tryRetry(route: RouteMatch): boolean {
     if (!this.hasRoom(route)) {
       return false;
@@ -68,23 +68,23 @@
     return true;
   }
 
-  /** Gives leave for another sidecar's extra requests; false where there is no room for them here. */
+  /** Lends retry tokens to another sidecar by charging its extra requests here; false if the budgets do not allow it. */
   lend(costs: readonly RetryCost[]): boolean {
-    const hasRoom = costs.every(({ service, n }) => this.#budget(service).hasRoomToLend(n));
-    if (hasRoom) {
+    const canLend = costs.every(({ service, n }) => this.#budget(service).canLend(n));
+    if (canLend) {
       this.#spend(costs);
     }
-    return hasRoom;
+    return canLend;
   }
 
-  /** How each stands, by services' names. */
+  /** Current usage of each service's budget. */
   get figures(): { service: string; figures: RetryBudget["figures"] }[] {
     return [...this.#budgets].map(([service, budget]) => ({ service, figures: budget.figures }));
   }
 
-  /** What a further send of a request on the route takes from which budgets. */
+  /** What a retry or hedge of a request on the route costs, by service. */
   costs({ service }: RouteMatch): RetryCost[] {
-    const calls = [...(this.#means.get(service.name) ?? [])];
+    const calls = [...(this.#meanCalls.get(service.name) ?? [])];
     return [[service.name, 1] as const, ...calls].map(([name, n]) => ({ service: name, n }));
   }
 
@@ -99,9 +99,9 @@
     if (!budget) {
       const { rule, clock, members, startedAt, random } = this.#deps;
       const ratio = () => this.#ratios.get(service) ?? rule().ratio;
-      const own = () => ({ ...rule(), ratio: ratio() });
-      const rounding = 1 - random();
-      budget = new RetryBudget({ rule: own, clock, members, startedAt, rounding });
+      const serviceRule = () => ({ ...rule(), ratio: ratio() });
+      const roundingThreshold = 1 - random();
+      budget = new RetryBudget({ rule: serviceRule, clock, members, startedAt, roundingThreshold });
       this.#budgets.set(service, budget);
     }
     return budget;
--- a/src/sidecar/routing/RetryCost.ts
+++ b/src/sidecar/routing/RetryCost.ts
@@ -1,6 +1,6 @@
-/** What a further send of a request takes from the retry budget of one service: itself, or the calls that its run will make. */
+/** What a retry or hedge takes from one service's retry budget: the request itself, or the nested calls of its run. */
 export interface RetryCost {
   readonly service: string;
-  /** Extra requests there; part of one where that is told by a mean. */
+  /** Number of extra requests to the service; fractional where it is a mean number of nested calls. */
   readonly n: number;
 }
