--- a/src/sidecar/routing/RetryTokenBorrower.test.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.test.ts
@@ -9,14 +9,14 @@
 const route = makeRoute({ service: makeService({ name: "reports" }), budgetRatio: undefined });
 const costs = [{ service: "reports", n: 1 }];
 
-/** Sidecars of which some have room to lend; which were asked. */
-function rig(lenders: readonly string[], withRoom: readonly string[]) {
+/** A borrower among `lenders`, of which those in `willing` lend; `asked` records the addresses asked. */
+function rig(lenders: readonly string[], willing: readonly string[]) {
   const asked: string[] = [];
   const borrower = new RetryTokenBorrower({
     lenders: () => lenders,
     ask: (address) => {
       asked.push(address);
-      return Promise.resolve(withRoom.includes(address));
+      return Promise.resolve(willing.includes(address));
     },
     random: seededRandom(1),
   });
@@ -26,44 +26,44 @@
 const cases: readonly {
   name: string;
   lenders: readonly string[];
-  withRoom: readonly string[];
-  isGiven: boolean;
+  willing: readonly string[];
+  isLent: boolean;
   asked: number;
 }[] = [
-  { name: "nobody is there", lenders: [], withRoom: [], isGiven: false, asked: 0 },
-  { name: "the first has room", lenders: ["a"], withRoom: ["a"], isGiven: true, asked: 1 },
+  { name: "no other sidecar exists", lenders: [], willing: [], isLent: false, asked: 0 },
+  { name: "the first sidecar lends", lenders: ["a"], willing: ["a"], isLent: true, asked: 1 },
   {
-    name: "none of three has room",
+    name: "none of three sidecars lends",
     lenders: ["a", "b", "c"],
-    withRoom: [],
-    isGiven: false,
+    willing: [],
+    isLent: false,
     asked: 3,
   },
   {
-    name: "none of many has room, of which a few are asked",
+    name: "none of many sidecars lends, and only a few are asked",
     lenders: Array.from({ length: 40 }, (_, n) => `s${n}`),
-    withRoom: [],
-    isGiven: false,
+    willing: [],
+    isLent: false,
     asked: 4,
   },
 ];
 
-for (const { name, lenders, withRoom, isGiven, asked: count } of cases) {
-  test(`loans: ${name}`, async (t) => {
-    const { asked, borrower } = rig(lenders, withRoom);
-    t.is(await borrower.borrow(costs), isGiven);
+for (const { name, lenders, willing, isLent, asked: count } of cases) {
+  test(`retry tokens: ${name}`, async (t) => {
+    const { asked, borrower } = rig(lenders, willing);
+    t.is(await borrower.borrow(costs), isLent);
     t.is(asked.length, count);
-    t.is(new Set(asked).size, count, "none is asked twice");
+    t.is(new Set(asked).size, count, "no sidecar is asked twice");
   });
 }
 
-/** Extras that 100 sidecars together may make in a window. */
+/** Retry budget shared by 100 sidecars. */
 const RULE = { ratio: 0.2, windowMs: 10_000, slack: 200 };
 
 for (const seed of [1, 2, 3]) {
-  test(`loans: whoever asks, the fleet's extras stay within its budget in every window (seed ${seed})`, async (t) => {
-    // Story: one zone's callers meet a gray service and retry whatever they can, for half a minute, and
-    // borrow from everybody. Each sidecar keeps to its part, and to what it lent.
+  test(`retry tokens: borrowing keeps the fleet's extra requests within its budget in every window (seed ${seed})`, async (t) => {
+    // The sidecars of one availability zone meet a gray service, retry as often as they can for half a minute, and
+    // borrow from all others. Guards against lent tokens that the lender does not count against its own share.
     const clock = new FakeClock();
     const random = seededRandom(seed);
     const fleet = Array.from(
@@ -85,10 +85,10 @@
     const extras: number[] = [];
     const firsts: number[] = [];
     for (let ms = 0; ms < 30_000; ms += 20) {
-      const own = fleet[Math.floor(random() * 10)];
-      own?.onFirstTry(route);
+      const local = fleet[Math.floor(random() * 10)];
+      local?.onFirstTry(route);
       firsts.push(ms);
-      if ((own?.tryRetry(route) ?? false) || (await borrower.borrow(costs))) {
+      if ((local?.tryRetry(route) ?? false) || (await borrower.borrow(costs))) {
         extras.push(ms);
       }
       await clock.advance(20);
@@ -98,7 +98,7 @@
     const allowedFrom = (from: number) => RULE.slack + RULE.ratio * within(firsts, from);
     t.true(extras.every((from) => within(extras, from) <= allowedFrom(from)));
     const most = Math.max(...extras.map((from) => within(extras, from)));
-    t.log(`${most} extras at most`);
-    t.true(most > RULE.slack / 10, "far more than the part of ten sidecars");
+    t.log(`at most ${most} extra requests in a window`);
+    t.true(most > RULE.slack / 10, "more than the ten sidecars' own share of the slack");
   });
 }
--- a/src/sidecar/routing/RetryTokenBorrower.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.ts
@@ -1,23 +1,23 @@
 import { sampleOf } from "../../membership/sampleOf.ts";
 import type { RetryCost } from "./RetryCost.ts";
 
-/** Sidecars that are asked one after the other before a retry is given up. */
+/** Maximum number of sidecars asked, one after the other, before the retry is abandoned. */
 const MAX_LENDERS = 4;
 
 interface RetryTokenBorrowerDeps {
-  /** Addresses of sidecars that may lend. */
+  /** Addresses of sidecars that may lend retry tokens. */
   readonly lenders: () => readonly string[];
-  /** Asks one of them; false where it has no room, or does not answer soon. */
+  /** Requests a retry token from one sidecar; false if its budget does not allow it, or it does not reply in time. */
   readonly ask: (address: string, costs: readonly RetryCost[]) => Promise<boolean>;
-  /** In [0, 1); tests pass a seeded one. */
+  /** Returns a number in [0, 1); tests pass a seeded generator. */
   readonly random: () => number;
 }
 
 /**
- * Leave for retries from other sidecars' parts of the fleet's budget. Among hundreds each part is one or two extra requests in
- * a window: most go unused, while a sidecar that meets a gray target twice could not retry. A lender counts what it lends as
- * spent, so the sum stays within the budget: it is used at once or not at all, and a lender that restarts has no part of
- * its own for a window.
+ * Borrows retry tokens from other sidecars' shares of the fleet's retry budget. Among hundreds of sidecars each share is
+ * one or two extra requests per window: most go unused, while a sidecar that meets a gray target twice could not retry.
+ * The total stays within the budget: a lender counts a token as spent when it lends it, a token is used at once or not at
+ * all, and a lender that restarts has no share of the slack for one window.
  */
 export class RetryTokenBorrower {
   readonly #deps: RetryTokenBorrowerDeps;
@@ -26,7 +26,7 @@
     this.#deps = deps;
   }
 
-  /** Seeks leave for extra requests that cost so much; to be used at once. */
+  /** Tries to borrow retry tokens for the given costs, to be used at once; false if no sidecar lends them. */
   async borrow(costs: readonly RetryCost[]): Promise<boolean> {
     const { lenders, ask, random } = this.#deps;
     for (const address of sampleOf(lenders(), MAX_LENDERS, random)) {
--- a/src/sidecar/routing/chooseLenders.ts
+++ b/src/sidecar/routing/chooseLenders.ts
@@ -1,11 +1,11 @@
 import type { TargetTable } from "../../membership/TargetTable.ts";
 
-/** Sidecars in a zone that lend to each other only, at least. */
-const FEW_LENDERS = 8;
+/** Minimum number of sidecars in an availability zone for borrowing within the zone only. */
+const MIN_ZONE_LENDERS = 8;
 
-/** Addresses of sidecars that are asked for leave to retry: those of the own zone, whose answers come soon; all, where it has few. */
+/** Addresses of the sidecars that may be asked for a retry token: those in this availability zone, which reply fastest, or all if it has few. */
 export function chooseLenders(table: Pick<TargetTable, "liveMembers" | "selfZone">): string[] {
   const sidecars = table.liveMembers().filter((m) => !m.control);
-  const near = sidecars.filter((m) => m.zone === table.selfZone);
-  return (near.length >= FEW_LENDERS ? near : sidecars).map((m) => m.peer_address);
+  const sameZone = sidecars.filter((m) => m.zone === table.selfZone);
+  return (sameZone.length >= MIN_ZONE_LENDERS ? sameZone : sidecars).map((m) => m.peer_address);
 }
