--- a/src/sidecar/routing/RouteIndex.test.ts
+++ b/src/sidecar/routing/RouteIndex.test.ts
@@ -20,13 +20,13 @@
   ["POST", "/oljelab/bookings/pickup", "oljelab-bookings", "pickup-booking", false],
   ["GET", "/oljelab/bookings/42", "oljelab-bookings", "booking-lookup", true],
   ["POST", "/glenbrae/bookings/deposit/7", "glenbrae-bookings", "deposit", false],
-  // No kind matches: never treated as idempotent, so never retried blindly.
+  // A request of an unknown kind must not be treated as idempotent, since it could then run twice.
   ["DELETE", "/glenbrae/bookings/van/3", "glenbrae-bookings", "unknown", false],
   ["GET", "/nowhere", undefined, "", false],
 ];
 
 for (const [method, path, service, kind, idempotent] of cases) {
-  test(`${method} ${path} -> ${service ?? "no route"}`, (t) => {
+  test(`routes: ${method} ${path} -> ${service ?? "no route"}`, (t) => {
     const match = index.match(method, path);
     t.is(match?.service.name, service);
     if (match) {
@@ -36,19 +36,19 @@
   });
 }
 
-test("the index finds what a look at every route finds", (t) => {
-  // Short routes over two letters, so that prefixes of each other and ties are common.
+test("routes: the index agrees with a linear search over all routes", (t) => {
+  // Short prefixes over two letters, so that many are equal or prefixes of one another.
   const path = fc.stringMatching(/^\/[ab/]{0,6}$/);
   const services = fc.array(fc.array(path, { minLength: 1, maxLength: 4 }), {
     minLength: 1,
     maxLength: 5,
   });
   fc.assert(
-    fc.property(services, path, (routes, wanted) => {
+    fc.property(services, path, (routes, requested) => {
       const named = routes.map((r, n) => makeService({ name: `s${n}`, routes: r }));
       const doc = { ...EMPTY_DOCUMENT, services: named };
-      const found = new RouteIndex(doc).match("GET", wanted)?.service.name;
-      return found === matchRouteNaively(doc, wanted)?.name;
+      const found = new RouteIndex(doc).match("GET", requested)?.service.name;
+      return found === matchRouteNaively(doc, requested)?.name;
     }),
     { numRuns: 2000, seed: 5 },
   );
--- a/src/sidecar/routing/RouteIndex.ts
+++ b/src/sidecar/routing/RouteIndex.ts
@@ -3,38 +3,39 @@
 import type { Service } from "../../common/document/Service.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
-/** Where a route names no objective, an answer in half its timeout is taken to be as good as any. */
-const OBJECTIVE_SHARE = 0.5;
+/** Default latency objective of a route, as a fraction of its timeout. */
+const DEFAULT_OBJECTIVE_RATIO = 0.5;
 
-/** Priority of simple routes: that of a route that says none. */
-const SIMPLE_PRIORITY = 1;
+/** Priority of simple routes: the default priority of a full route. */
+const SIMPLE_ROUTE_PRIORITY = 1;
 
-/** Makes the match of one request. */
-type Plan = (method: string, path: string, draw: Draw) => RouteMatch | undefined;
+/** Builds the match of a request that a route's prefix selected; undefined if the document lacks the route's service. */
+type Matcher = (method: string, path: string, draw: Draw) => RouteMatch | undefined;
 
-/** Gives the next draw, in [0, 1), between the parts of a route's split. */
+/** Returns the next sample in [0, 1) of a route, which selects an entry of its weighted split. */
 type Draw = (route: string) => number;
 
-/** The routes of one host, or of any. */
+/** The routes of one host, or those that apply to any host. */
 class HostRoutes {
-  readonly #plans = new Map<string, Plan>();
-  /** Distinct lengths of prefixes, longest first. */
+  readonly #matchers = new Map<string, Matcher>();
+  /** Distinct prefix lengths, longest first. */
   #lengths: readonly number[] = [];
 
-  /** Where two routes name the same prefix, the first in the document has it. */
-  add(prefix: string, plan: Plan): void {
-    if (!this.#plans.has(prefix)) {
-      this.#plans.set(prefix, plan);
+  /** Adds a route; if two routes have the same prefix, the first in the document wins. */
+  add(prefix: string, matcher: Matcher): void {
+    if (!this.#matchers.has(prefix)) {
+      this.#matchers.set(prefix, matcher);
       const lengths = new Set([...this.#lengths, prefix.length]);
       this.#lengths = [...lengths].sort((a, b) => b - a);
     }
   }
 
-  longest(path: string): Plan | undefined {
+  /** Returns the matcher of the longest prefix of `path`. */
+  longestMatch(path: string): Matcher | undefined {
     for (const length of this.#lengths) {
-      const plan = length <= path.length ? this.#plans.get(path.slice(0, length)) : undefined;
-      if (plan) {
-        return plan;
+      const matcher = length <= path.length ? this.#matchers.get(path.slice(0, length)) : undefined;
+      if (matcher) {
+        return matcher;
       }
     }
     return undefined;
@@ -42,9 +43,9 @@
 }
 
 /**
- * Finds how a caller's request is to be served. Built once per document; a lookup
+ * Finds the route of a caller's request. Built once per document version; a lookup
  * tries one hash per distinct prefix length, longest first, so its cost does not
- * grow with the number of routes (40,000 at the two-year size).
+ * grow with the number of routes (40,000 at the size planned for in two years).
  */
 export class RouteIndex {
   readonly #byHost = new Map<string, HostRoutes>();
@@ -53,25 +54,26 @@
   constructor(doc: OperatorDocument) {
     const services = new Map(doc.services.map((s) => [s.name, s]));
     for (const route of doc.routes) {
-      this.#routesOf(route.host).add(route.prefix, routePlan(route, services));
+      this.#routesOf(route.host).add(route.prefix, routeMatcher(route, services));
     }
     for (const service of doc.services) {
       for (const prefix of service.routes ?? []) {
-        this.#anyHost.add(prefix, simplePlan(service));
+        this.#anyHost.add(prefix, simpleRouteMatcher(service));
       }
     }
   }
 
   /**
-   * How to serve a request. Among the routes of its host the one with the longest
-   * prefix of `path` is taken; where none of them fits, the longest of those for any host.
+   * Returns the match of a request. Selects the longest matching prefix of `path` among
+   * the routes of its host, or, if there is none, among the routes that apply to any host.
    *
-   * @param host as in the request's `Host`, with or without a port
-   * @param draw decides between the parts of a split; called only for a route that has one
+   * @param host as in the request's `Host` header, with or without a port
+   * @param draw selects an entry of a weighted split; called only for a route that has one
    */
   match(method: string, path: string, host = "", draw: Draw = () => 0): RouteMatch | undefined {
-    const plan = this.#byHost.get(hostName(host))?.longest(path) ?? this.#anyHost.longest(path);
-    return plan?.(method, path, draw);
+    const matcher =
+      this.#byHost.get(hostName(host))?.longestMatch(path) ?? this.#anyHost.longestMatch(path);
+    return matcher?.(method, path, draw);
   }
 
   #routesOf(host: string | undefined): HostRoutes {
@@ -79,9 +81,9 @@
       return this.#anyHost;
     }
     const name = hostName(host);
-    const known = this.#byHost.get(name) ?? new HostRoutes();
-    this.#byHost.set(name, known);
-    return known;
+    const routes = this.#byHost.get(name) ?? new HostRoutes();
+    this.#byHost.set(name, routes);
+    return routes;
   }
 }
 
@@ -89,12 +91,12 @@
   return host.replace(/:\d+$/, "").toLowerCase();
 }
 
-function routePlan(route: Route, services: ReadonlyMap<string, Service>): Plan {
+function routeMatcher(route: Route, services: ReadonlyMap<string, Service>): Matcher {
   const { name, idempotent, bulk, timeoutMs, attempts, priority } = route;
-  const objectiveMs = route.objectiveMs ?? timeoutMs * OBJECTIVE_SHARE;
+  const objectiveMs = route.objectiveMs ?? timeoutMs * DEFAULT_OBJECTIVE_RATIO;
   return (_method, _path, draw) => {
-    const chosen = route.split ? pickPart(route.split, draw(name)) : route.service;
-    const service = services.get(chosen ?? "");
+    const serviceName = route.split ? pickByWeight(route.split, draw(name)) : route.service;
+    const service = services.get(serviceName ?? "");
     return (
       service && {
         name,
@@ -111,20 +113,21 @@
   };
 }
 
-function pickPart(parts: readonly { service: string; weight: number }[], draw: number): string {
-  const sum = parts.reduce((total, p) => total + p.weight, 0);
-  let left = draw * sum;
-  for (const part of parts) {
-    left -= part.weight;
-    if (left < 0) {
-      return part.service;
+/** Selects the service of a weighted split that the sample `draw`, in [0, 1), falls on. */
+function pickByWeight(split: readonly { service: string; weight: number }[], draw: number): string {
+  const sum = split.reduce((total, entry) => total + entry.weight, 0);
+  let remaining = draw * sum;
+  for (const entry of split) {
+    remaining -= entry.weight;
+    if (remaining < 0) {
+      return entry.service;
     }
   }
-  return parts.findLast((p) => p.weight > 0)?.service ?? "";
+  return split.findLast((entry) => entry.weight > 0)?.service ?? "";
 }
 
-/** A service's simple routes: the kind of a request decides whether it is idempotent. */
-function simplePlan(service: Service): Plan {
+/** Matcher of a simple route, listed in its service as a path prefix: the request's kind decides whether it is idempotent. */
+function simpleRouteMatcher(service: Service): Matcher {
   const timeoutMs = service.timeoutMs ?? 0;
   return (method, path) => {
     const kind = (service.requests ?? [])
@@ -133,13 +136,13 @@
     return {
       name: `${service.name}/${kind?.kind ?? "unknown"}`,
       service,
-      // No kind matches: never taken as idempotent, so never retried blindly.
+      // A request of an unknown kind must not be treated as idempotent, since it could then run twice.
       idempotent: kind?.idempotent ?? false,
       bulk: false,
       timeoutMs,
       attempts: service.retry?.attempts ?? 1,
-      priority: SIMPLE_PRIORITY,
-      objectiveMs: timeoutMs * OBJECTIVE_SHARE,
+      priority: SIMPLE_ROUTE_PRIORITY,
+      objectiveMs: timeoutMs * DEFAULT_OBJECTIVE_RATIO,
       budgetRatio: service.retry?.budgetRatio,
     };
   };
--- a/src/sidecar/routing/RouteMatch.ts
+++ b/src/sidecar/routing/RouteMatch.ts
@@ -1,21 +1,21 @@
 import type { Service } from "../../common/document/Service.ts";
 
-/** How one request is to be served, by the document. */
+/** How the operator document says to serve one request. */
 export interface RouteMatch {
-  /** Names the route in logs and figures; requests of one name are alike. */
+  /** Route name in logs and metrics; requests under one name are treated as the same kind. */
   readonly name: string;
   readonly service: Service;
   readonly idempotent: boolean;
-  /** Large bodies or answers: kept in the availability zone where possible. */
+  /** Whether request or response bodies are large: such requests stay in the availability zone where possible. */
   readonly bulk: boolean;
-  /** The longest that the caller is kept waiting, ms. */
+  /** Longest time until the caller gets a final response, ms. */
   readonly timeoutMs: number;
-  /** Targets to which it may be sent, the first included. */
+  /** Maximum number of targets to which the request may be sent, including the first. */
   readonly attempts: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** An answer within this time is as good as any, ms. */
+  /** Latency objective, ms: responding faster than this has no further benefit. */
   readonly objectiveMs: number;
-  /** Retries of the service may add this fraction of first tries; undefined for the sidecar's setting. */
+  /** Extra requests allowed to the service per first try; undefined for the sidecar's default. */
   readonly budgetRatio: number | undefined;
 }
