--- a/src/sidecar/routing/SlidingWindowSum.ts
+++ b/src/sidecar/routing/SlidingWindowSum.ts
@@ -1,7 +1,7 @@
-/** A sum over a sliding window of time. */
+/** Sum of the weights added within a sliding time window. */
 export class SlidingWindowSum {
   readonly #windowMs: number;
-  #parts: { readonly at: number; readonly weight: number }[] = [];
+  #entries: { readonly at: number; readonly weight: number }[] = [];
   #sum = 0;
 
   /** @param windowMs length of the window, ms */
@@ -9,20 +9,21 @@
     this.#windowMs = windowMs;
   }
 
-  /** Adds to it; times must not go back. */
+  /** Adds `weight` at time `at`, ms; times must not decrease between calls. */
   add(weight: number, at: number): void {
     if (weight > 0) {
-      this.#parts.push({ at, weight });
+      this.#entries.push({ at, weight });
       this.#sum += weight;
     }
   }
 
-  /** What was added within the window that ends at `now`. */
+  /** Returns the sum over the window that ends at `now`, ms. */
   valueAt(now: number): number {
     const cutoff = now - this.#windowMs;
-    const kept = this.#parts.findIndex((p) => p.at > cutoff);
-    const old = this.#parts.splice(0, kept < 0 ? this.#parts.length : kept);
-    this.#sum = this.#parts.length === 0 ? 0 : old.reduce((sum, p) => sum - p.weight, this.#sum);
+    const kept = this.#entries.findIndex((p) => p.at > cutoff);
+    const expired = this.#entries.splice(0, kept < 0 ? this.#entries.length : kept);
+    this.#sum =
+      this.#entries.length === 0 ? 0 : expired.reduce((sum, p) => sum - p.weight, this.#sum);
     return this.#sum;
   }
 }
--- a/src/sidecar/routing/SplitSampler.test.ts
+++ b/src/sidecar/routing/SplitSampler.test.ts
@@ -3,7 +3,7 @@
 import { SplitSampler } from "./SplitSampler.ts";
 
 for (const weight of [0.05, 0.25, 0.5, 0.9]) {
-  test(`split: a part of weight ${String(weight)} gets nearly its share of few requests`, (t) => {
+  test(`split: an entry of weight ${String(weight)} gets nearly its share of few requests`, (t) => {
     const sampler = new SplitSampler(seededRandom(7));
     const draws = Array.from({ length: 100 }, () => sampler.next("route"));
     const share = draws.filter((d) => d < weight).length / draws.length;
@@ -11,7 +11,7 @@
   });
 }
 
-test("split: many sidecars with one request each share by weight too", (t) => {
+test("split: many sidecars with one request each do not all choose the same entry", (t) => {
   const random = seededRandom(3);
   const draws = Array.from({ length: 1000 }, () => new SplitSampler(random).next("route"));
   const share = draws.filter((d) => d < 0.3).length / draws.length;
--- a/src/sidecar/routing/SplitSampler.ts
+++ b/src/sidecar/routing/SplitSampler.ts
@@ -1,24 +1,25 @@
-/** The golden ratio's fraction: multiples of it spread over [0, 1) more evenly than random draws. */
-const STEP = 0.6180339887498949;
+/** Fractional part of the golden ratio: its multiples modulo 1 cover [0, 1) more evenly than random samples. */
+const GOLDEN_RATIO_STEP = 0.6180339887498949;
 
 /**
- * Draws for weighted splits, in [0, 1), one sequence a route: over few requests each
- * part gets nearly its share. Each sidecar starts each sequence at a random point, so
- * that many sidecars with few requests each do not all begin with the same part.
+ * Samples in [0, 1) for weighted traffic splits, as one low-discrepancy sequence per route:
+ * even over few requests, each entry of a split gets nearly its share. Each sidecar starts
+ * each sequence at a random point, so that many sidecars with few requests each do not all
+ * begin with the same entry.
  */
 export class SplitSampler {
   readonly #random: () => number;
-  readonly #at = new Map<string, number>();
+  readonly #positions = new Map<string, number>();
 
-  /** `random` gives [0, 1). */
+  /** @param random returns a number in [0, 1) */
   constructor(random: () => number) {
     this.#random = random;
   }
 
-  /** The next draw for `route`. */
+  /** Returns the next sample for `route`. */
   next(route: string): number {
-    const at = ((this.#at.get(route) ?? this.#random()) + STEP) % 1;
-    this.#at.set(route, at);
-    return at;
+    const position = ((this.#positions.get(route) ?? this.#random()) + GOLDEN_RATIO_STEP) % 1;
+    this.#positions.set(route, position);
+    return position;
   }
 }
