--- a/src/sidecar/routing/chooseRotation.test.ts
+++ b/src/sidecar/routing/chooseRotation.test.ts
@@ -23,27 +23,27 @@
   floor: number;
   want: string[];
 }[] = [
-  { name: "nothing announced", candidates: [], floor: 0.5, want: [] },
+  { name: "no target is announced", candidates: [], floor: 0.5, want: [] },
   {
-    name: "the gray one leaves",
+    name: "a gray target is ejected",
     candidates: [candidate("a", 0), candidate("b", 9), candidate("c", 1)],
     floor: 0.5,
     want: ["a", "c"],
   },
   {
-    name: "the floor keeps the least bad of the gray",
+    name: "the floor keeps the least bad gray target",
     candidates: [candidate("a", 20), candidate("b", 9), candidate("c", 15), candidate("d", 0)],
     floor: 0.5,
     want: ["b", "d"],
   },
   {
-    name: "a draining target counts toward the floor's base but gets no work",
+    name: "a draining target counts toward the announced slots but gets no requests",
     candidates: [candidate("a", 0, { ready: false }), candidate("b", 9), candidate("c", 0)],
     floor: 0.6,
     want: ["b", "c"],
   },
   {
-    name: "the last target is never ejected, even with no floor",
+    name: "the last target is never ejected, even with a floor of 0",
     candidates: [candidate("a", 9)],
     floor: 0,
     want: ["a"],
@@ -56,11 +56,10 @@
   });
 }
 
-test("chooseRotation: ejection never takes capacity below the floor, whatever the detector says", (t) => {
-  // Story: an overload or a bad release makes most targets of a service look
-  // gray at once. Ejecting them all would leave its callers nothing. Whatever
-  // the judgements, the slots in rotation stay at the floor, or at all that is
-  // ready when even that is less.
+test("chooseRotation: ejection never reduces capacity below the floor, whatever the detector reports", (t) => {
+  // Guards against ejecting all targets when an overload or a bad release makes
+  // most of them look gray at once. The slots in rotation stay at the floor, or
+  // at all ready slots if these are fewer, and no healthy target is ejected.
   const anyCandidates = fc.array(
     fc.record({
       slots: fc.integer({ min: 1, max: 8 }),
@@ -76,9 +75,9 @@
       const rotation = chooseRotation(candidates, floor);
       const slots = (list: typeof candidates) => list.reduce((sum, c) => sum + c.slots, 0);
       const ready = slots(candidates.filter((c) => c.ready));
-      const left = slots(candidates.filter((c) => rotation.has(c.id)));
-      const healthyOut = candidates.filter((c) => c.ready && !c.gray && !rotation.has(c.id));
-      return left >= Math.min(ready, floor * slots(candidates)) && healthyOut.length === 0;
+      const remaining = slots(candidates.filter((c) => rotation.has(c.id)));
+      const ejectedHealthy = candidates.filter((c) => c.ready && !c.gray && !rotation.has(c.id));
+      return remaining >= Math.min(ready, floor * slots(candidates)) && ejectedHealthy.length === 0;
     }),
     { numRuns: 2000, seed: 7 },
   );
--- a/src/sidecar/routing/chooseRotation.ts
+++ b/src/sidecar/routing/chooseRotation.ts
@@ -2,12 +2,14 @@
 import type { RotationCandidate } from "./RotationCandidate.ts";
 
 /**
- * The targets that get work: every ready one but the gray, worst ejected
- * first, as long as the slots left stay at or above `floor` of all the slots
- * announced. Guards against ejecting a service to death: when most targets
- * look gray (an overload, a bad release, a wrong detector), the least bad keep
- * serving. Computed from scratch each time, so it also holds after targets
- * leave: an ejected one comes back when its capacity is needed.
+ * Chooses the targets that receive requests: every ready target except the gray
+ * ones, ejected from the worst on while the remaining slots stay at or above
+ * `floor`. Guards against ejecting most of a service: when most targets look
+ * gray (overload, a bad release, a false detection), the least bad keep
+ * serving. Computed from scratch each time, so the floor also holds after
+ * targets leave: an ejected target is readmitted when its capacity is needed.
+ *
+ * @param floor minimum capacity in rotation, as a fraction of all announced slots
  */
 export function chooseRotation(
   candidates: readonly RotationCandidate[],
--- a/src/sidecar/routing/pickByCost.test.ts
+++ b/src/sidecar/routing/pickByCost.test.ts
@@ -13,15 +13,15 @@
   random: number[];
   want: string | undefined;
 }[] = [
-  { name: "none to pick", costs: {}, random: [0], want: undefined },
-  { name: "the only one", costs: { a: 9 }, random: [0], want: "a" },
+  { name: "no candidates", costs: {}, random: [0], want: undefined },
+  { name: "a single candidate", costs: { a: 9 }, random: [0], want: "a" },
   {
-    name: "the cheaper of the two drawn",
+    name: "the cheaper of two samples",
     costs: { a: 4, b: 1, c: 0 },
     random: [0, 0.5],
     want: "b",
   },
-  { name: "the first drawn on a tie", costs: { a: 3, b: 3 }, random: [0.9, 0], want: "b" },
+  { name: "the first sample on a tie", costs: { a: 3, b: 3 }, random: [0.9, 0], want: "b" },
 ];
 
 for (const c of cases) {
--- a/src/sidecar/routing/pickByCost.ts
+++ b/src/sidecar/routing/pickByCost.ts
@@ -1,8 +1,10 @@
 /**
  * Picks the cheaper of two random choices (Mitzenmacher, "The Power of Two
  * Choices in Randomized Load Balancing", 2001): nearly as even as choosing the
- * cheapest of all, without every sidecar stampeding to the same one.
- * `random` gives [0, 1); tests pass a seeded one. Undefined for an empty list.
+ * cheapest of all, without all sidecars choosing the same one at the same time.
+ *
+ * @param random returns a number in [0, 1); tests pass a seeded generator
+ * @returns undefined for an empty list
  */
 export function pickByCost<T>(
   candidates: readonly T[],
