--- a/src/sidecar/routing/TrafficClassifier.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -9,14 +9,14 @@
 
 const route = makeRoute({ name: "route" });
 
-/** Requests that begin beside a target that is idle for `idleShare` of the time; `comesIdle` of them come then. */
-function rig(idleShare: number, comesIdle: number) {
+/** A classifier local to a target that is idle for `idleShare` of the time; `idleArrivals` of the requests arrive then. */
+function rig(idleShare: number, idleArrivals: number) {
   const random = seededRandom(3);
   const weights: number[] = [];
-  const calls = new TrafficClassifier({
+  const classifier = new TrafficClassifier({
     runs: {
       get count() {
-        return random() < comesIdle ? 0 : 4;
+        return random() < idleArrivals ? 0 : 4;
       },
       idleShare,
       beginCall: ({ weight }) => {
@@ -26,72 +26,72 @@
     },
     log,
   });
-  const note = (arrivals: number) => {
+  const receive = (arrivals: number) => {
     let isOwn = false;
     for (let n = 0; n < arrivals; n++) {
-      isOwn = calls.begin(route).isOwn;
+      isOwn = classifier.begin(route).isOwn;
     }
     return isOwn;
   };
-  return { note, weights };
+  return { receive, weights };
 }
 
 const cases: readonly {
   name: string;
   idleShare: number;
-  /** Share of the route's requests that come while the target has nothing to do. */
-  comesIdle: number;
+  /** Fraction of the route's requests that arrive while the target is idle. */
+  idleArrivals: number;
   arrivals: number;
   isOwn: boolean;
-  /** How much the last one counts as a call; undefined for a caller's own. */
+  /** Weight of the last request as a nested call; undefined for a caller's request. */
   weight: number | undefined;
 }[] = [
   {
-    name: "callers' own requests come at any time",
+    name: "requests that also arrive while the target is idle are callers' requests",
     idleShare: 0.2,
-    comesIdle: 0.2,
+    idleArrivals: 0.2,
     arrivals: 60,
     isOwn: true,
     weight: undefined,
   },
   {
-    name: "calls come only while a run is under way",
+    name: "requests that arrive only during runs are nested calls",
     idleShare: 0.2,
-    comesIdle: 0,
+    idleArrivals: 0,
     arrivals: 60,
     isOwn: false,
     weight: 1,
   },
   {
-    name: "a few strays do not make calls callers' own",
+    name: "a few arrivals outside runs do not turn nested calls into callers' requests",
     idleShare: 0.2,
-    comesIdle: 0.01,
+    idleArrivals: 0.01,
     arrivals: 300,
     isOwn: false,
     weight: 1,
   },
   {
-    name: "a route that is new may be either, and gives no leave for extras",
+    name: "requests of a new route are undecided, and earn no retry budget",
     idleShare: 0.2,
-    comesIdle: 0,
+    idleArrivals: 0,
     arrivals: 5,
     isOwn: false,
     weight: 0.5,
   },
   {
-    name: "beside a target that is hardly ever idle, callers' own are not taken for calls",
+    name: "callers' requests to a target that is never idle are not classified as nested calls",
     idleShare: 0,
-    comesIdle: 0,
+    idleArrivals: 0,
     arrivals: 1000,
     isOwn: false,
     weight: 0.5,
   },
 ];
 
-for (const { name, idleShare, comesIdle, arrivals, isOwn, weight } of cases) {
-  test(`calls: ${name}`, (t) => {
-    const { note, weights } = rig(idleShare, comesIdle);
-    t.is(note(arrivals), isOwn);
+for (const { name, idleShare, idleArrivals, arrivals, isOwn, weight } of cases) {
+  test(`traffic: ${name}`, (t) => {
+    const { receive, weights } = rig(idleShare, idleArrivals);
+    t.is(receive(arrivals), isOwn);
     t.is(isOwn ? undefined : weights.at(-1), weight);
   });
 }
@@ -110,53 +110,53 @@
 ];
 
 for (const { origin, arrivals, isOwn, isCall } of origins) {
-  test(`calls: beside a busy target, after ${arrivals} from ${origin}, isOwn ${isOwn}, isCall ${isCall}`, (t) => {
-    // Story: a sidecar's target is never idle, and nothing told calls from callers' own requests for the first
-    // minute of each process: no lookup was sent a second time, since none gave leave for it.
+  test(`traffic: busy target, request ${arrivals} from ${origin}: isOwn ${isOwn}, isCall ${isCall}`, (t) => {
+    // The local target is hardly ever idle. Guards against leaving callers' requests unclassified for the first minute
+    // of each process: lookups were not retried then, since no request earned retry budget.
     const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-    const calls = new TrafficClassifier({ runs, log });
-    calls.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
+    const classifier = new TrafficClassifier({ runs, log });
+    classifier.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
     for (let n = 1; n < arrivals; n++) {
-      calls.begin(route, origin);
+      classifier.begin(route, origin);
     }
-    const begun = calls.begin(route, origin);
-    t.is(begun.isOwn, isOwn);
-    t.is(begun.isCall, isCall);
+    const classified = classifier.begin(route, origin);
+    t.is(classified.isOwn, isOwn);
+    t.is(classified.isCall, isCall);
   });
 }
 
-test("calls: requests of one route are told apart by where they come from", (t) => {
+test("traffic: requests of one route are classified separately by origin", (t) => {
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-  const calls = new TrafficClassifier({ runs, log });
-  t.true(calls.begin(route, RequestOrigin.Elsewhere).isOwn);
-  t.true(calls.begin(route, RequestOrigin.TargetVm).isCall);
+  const classifier = new TrafficClassifier({ runs, log });
+  t.true(classifier.begin(route, RequestOrigin.Elsewhere).isOwn);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isCall);
 });
 
-test("calls: where all requests come from the target's address, that tells nothing", (t) => {
-  // Story: on some platforms callers reach the sidecar from its own VM. All of their requests were taken for calls.
+test("traffic: the target's address is no evidence while all requests come from it", (t) => {
+  // Guards against classifying callers' requests as nested calls on platforms where callers reach the sidecar from its own VM.
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
-  const calls = new TrafficClassifier({ runs, log });
-  const begun = calls.begin(route, RequestOrigin.TargetVm);
-  t.false(begun.isCall);
-  t.false(begun.isOwn);
+  const classifier = new TrafficClassifier({ runs, log });
+  const classified = classifier.begin(route, RequestOrigin.TargetVm);
+  t.false(classified.isCall);
+  t.false(classified.isOwn);
 });
 
-test("calls: callers at the target's own address are found to be callers", (t) => {
+test("traffic: callers that share the target's address are recognized by requests outside runs", (t) => {
   const runs = { count: 0, idleShare: 0.5, beginCall: () => () => undefined };
-  const calls = new TrafficClassifier({ runs, log });
-  calls.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
+  const classifier = new TrafficClassifier({ runs, log });
+  classifier.begin(makeRoute({ name: "other" }), RequestOrigin.Elsewhere);
   for (let n = 0; n < 3; n++) {
-    calls.begin(route, RequestOrigin.TargetVm);
+    classifier.begin(route, RequestOrigin.TargetVm);
   }
-  t.true(calls.begin(route, RequestOrigin.TargetVm).isOwn);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isOwn);
 });
 
-test("calls: routes are told apart", (t) => {
+test("traffic: each route is classified on its own", (t) => {
   const runs = { count: 0, idleShare: 0.2, beginCall: () => () => undefined };
-  const calls = new TrafficClassifier({ runs, log });
-  calls.begin(route);
-  t.true(calls.begin(route).isOwn);
+  const classifier = new TrafficClassifier({ runs, log });
+  classifier.begin(route);
+  t.true(classifier.begin(route).isOwn);
   runs.count = 4;
-  t.true(calls.begin(route).isOwn);
-  t.false(calls.begin(makeRoute({ name: "other" })).isOwn);
+  t.true(classifier.begin(route).isOwn);
+  t.false(classifier.begin(makeRoute({ name: "other" })).isOwn);
 });
--- a/src/sidecar/routing/TrafficClassifier.ts
+++ b/src/sidecar/routing/TrafficClassifier.ts
@@ -4,34 +4,34 @@
 import type { RouteMatch } from "./RouteMatch.ts";
 
 /**
- * Share of calls that come while no run is under way, as far as this sidecar can tell: a run that was given up
- * may still make its calls.
+ * Assumed fraction of nested calls that arrive while this sidecar knows of no active run: a target may still make
+ * the nested calls of a run that was given up.
  */
-const STRAYS = 0.02;
+const STRAY_CALL_RATIO = 0.02;
 
-/** The share of idle time is never surer than this, nor is it told from strays below it. */
-const LEAST_SHARE = 2 * STRAYS;
+/** The idle share is clamped to at least this and at most 1 minus this; below it, idle time can't be told from stray calls. */
+const MIN_IDLE_SHARE = 2 * STRAY_CALL_RATIO;
 
-/** The evidence of a route is never surer than this, nats: a new configuration may give its name to other requests. */
-const MOST_NATS = 6;
+/** Bound on the absolute evidence, nats. It stays revisable, since a new document version may reuse a route's name for other requests. */
+const MAX_EVIDENCE_NATS = 6;
 
-/** A route is taken for one of calls, or of callers' own requests, from this evidence on, nats: 9 to 1. */
-const SURE_NATS = Math.log(9);
+/** Evidence from which requests are classified as nested calls or as caller requests, nats: odds of 9 to 1. */
+const DECISION_NATS = Math.log(9);
 
-/** Where a request comes from is taken for this much evidence that it is a call, nats; what is seen then may outweigh it. */
-const ORIGIN_NATS: Readonly<Record<RequestOrigin, number>> = {
+/** Prior evidence from a request's origin that it is a nested call, nats; later observations may outweigh it. */
+const ORIGIN_PRIOR_NATS: Readonly<Record<RequestOrigin, number>> = {
   [RequestOrigin.TargetVm]: 5,
   [RequestOrigin.Elsewhere]: -5,
   [RequestOrigin.Unknown]: 0,
 };
 
-/** A request that begins at this sidecar, and what it counts as. */
-export interface StartedRequest {
-  /** It is taken for a caller's own request: it gives leave for extras. */
+/** A request received by this sidecar from a caller or a local target, with its classification. */
+export interface ClassifiedRequest {
+  /** Whether it is classified as a caller's request, which adds to the retry budget as a first try. */
   readonly isOwn: boolean;
-  /** It is taken for a call, of a run that is lost without it. */
+  /** Whether it is classified as a nested call, whose failure makes its run fail. */
   readonly isCall: boolean;
-  /** Notes how it ended. */
+  /** Records the end of the request, and whether it was served. */
   end(wasServed: boolean): void;
 }
 
@@ -41,37 +41,37 @@
 }
 
 /**
- * Tells calls, which targets make in the midst of their work, from callers' own
- * requests. Both come to the sidecar beside the target, and nothing in them says which
- * is which; but a call comes from the target's address, and only while a run is under way there. A route on which requests
- * come at times when none is gathers evidence (log-likelihood ratios) of callers' own; the busier the target, the
- * slower, so that where the address tells nothing it may take a minute.
+ * Distinguishes nested calls, which targets make during a run, from callers' requests. Both reach the sidecar local to
+ * the target, and nothing in them says which is which. But a nested call comes from the target's address, and only
+ * while a run is active there. Requests that arrive while no run is active add evidence (log-likelihood ratios) that
+ * their route is used by callers. The busier the target, the slower the evidence grows: where the address does not
+ * distinguish the two, classification may take a minute.
  */
 export class TrafficClassifier {
   readonly #deps: TrafficClassifierDeps;
-  /** Evidence that the requests of a route and an origin are calls, against callers' own, nats. */
-  readonly #nats = new Map<string, number>();
-  /** Requests come from other addresses than the target's: until then, callers may share it, and it tells nothing. */
-  #hasElsewhere = false;
-  /** What the log has last told of each. */
-  readonly #told = new Map<string, number>();
+  /** Evidence that requests are nested calls rather than callers' requests, nats, by route and origin. */
+  readonly #evidenceNats = new Map<string, number>();
+  /** Whether a request came from an address other than the target's. Until then callers may share it, so it is no evidence. */
+  #sawOtherAddress = false;
+  /** Weight last logged, by route and origin. */
+  readonly #loggedWeights = new Map<string, number>();
 
   constructor(deps: TrafficClassifierDeps) {
     this.#deps = deps;
   }
 
-  /** Notes a request of `route` that begins here, and tells what it counts as. */
+  /** Records the arrival of a request of `route`, and classifies it. */
   begin(
     { name: route, service }: Pick<RouteMatch, "name" | "service">,
     origin = RequestOrigin.Unknown,
-  ): StartedRequest {
+  ): ClassifiedRequest {
     const { runs } = this.#deps;
-    this.#hasElsewhere ||= origin === RequestOrigin.Elsewhere;
-    const tells = this.#hasElsewhere ? origin : RequestOrigin.Unknown;
-    const key = `${route} from ${tells}`;
-    const nats = this.#weigh(key, ORIGIN_NATS[tells]);
-    const weight = weightOf(nats);
-    this.#tell(key, weight, nats);
+    this.#sawOtherAddress ||= origin === RequestOrigin.Elsewhere;
+    const usedOrigin = this.#sawOtherAddress ? origin : RequestOrigin.Unknown;
+    const key = `${route} from ${usedOrigin}`;
+    const nats = this.#updateEvidence(key, ORIGIN_PRIOR_NATS[usedOrigin]);
+    const weight = callWeight(nats);
+    this.#logChange(key, weight, nats);
     const isOwn = weight === 0;
     return {
       isOwn,
@@ -80,35 +80,37 @@
     };
   }
 
-  #weigh(key: string, before: number): number {
-    const nats = (this.#nats.get(key) ?? before) + this.#gained();
-    const bounded = Math.min(MOST_NATS, Math.max(-MOST_NATS, nats));
-    this.#nats.set(key, bounded);
+  #updateEvidence(key: string, priorNats: number): number {
+    const nats = (this.#evidenceNats.get(key) ?? priorNats) + this.#arrivalEvidence();
+    const bounded = Math.min(MAX_EVIDENCE_NATS, Math.max(-MAX_EVIDENCE_NATS, nats));
+    this.#evidenceNats.set(key, bounded);
     return bounded;
   }
 
-  /** What the request that comes now adds. One beside a target that is never idle adds nothing: either kind comes so. */
-  #gained(): number {
+  /** Evidence from a request that arrives now, nats. 0 if the target is busy and almost never idle: both kinds of request arrive then. */
+  #arrivalEvidence(): number {
     const { count, idleShare } = this.#deps.runs;
-    if (count > 0 && idleShare < LEAST_SHARE) {
+    if (count > 0 && idleShare < MIN_IDLE_SHARE) {
       return 0;
     }
-    const share = Math.min(1 - LEAST_SHARE, Math.max(LEAST_SHARE, idleShare));
-    return count === 0 ? Math.log(STRAYS / share) : Math.log((1 - STRAYS) / (1 - share));
+    const share = Math.min(1 - MIN_IDLE_SHARE, Math.max(MIN_IDLE_SHARE, idleShare));
+    return count === 0
+      ? Math.log(STRAY_CALL_RATIO / share)
+      : Math.log((1 - STRAY_CALL_RATIO) / (1 - share));
   }
 
-  #tell(requests: string, weight: number, nats: number): void {
-    if (this.#told.get(requests) !== weight) {
-      this.#told.set(requests, weight);
+  #logChange(requests: string, weight: number, nats: number): void {
+    if (this.#loggedWeights.get(requests) !== weight) {
+      this.#loggedWeights.set(requests, weight);
       const { idleShare } = this.#deps.runs;
       this.#deps.log.info({ requests, weight, nats, idleShare }, "traffic classified");
     }
   }
 }
 
-/** How much a request counts as a call: 1 on a route of calls, 0 on one of callers' own, half where it is not known. */
-function weightOf(nats: number): number {
-  if (Math.abs(nats) < SURE_NATS) {
+/** Weight of a request as a nested call: 1 if classified as one, 0 if classified as a caller's request, 0.5 if undecided. */
+function callWeight(nats: number): number {
+  if (Math.abs(nats) < DECISION_NATS) {
     return 0.5;
   }
   return nats > 0 ? 1 : 0;
