--- a/src/sidecar/routing/LinkHealth.ts
+++ b/src/sidecar/routing/LinkHealth.ts
@@ -1,9 +1,11 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 
-/** How long a sidecar stays suspect after its first missing reply, ms. Doubles with each further one until it replies. */
+/**
+ * How long a sidecar stays suspect after its first missing reply, ms. Doubles with each further one until it replies.
+ */
 const INITIAL_SUSPECT_MS = 400;
 
-/** Upper bound of the doubling suspect period, ms. Bounds the time to notice that a network partition healed to a few seconds. */
+/** Upper bound of the suspect period, ms: a healed network partition is then noticed within a few seconds. */
 const MAX_SUSPECT_MS = 3200;
 
 /** Weight of the newest reply time in the moving average. */
--- a/src/sidecar/routing/RemoteRun.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -11,7 +11,10 @@
 import type { Grant } from "./SlotFinder.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
-/** Longest gap between heartbeats of a run, ms. They are sent every 300 ms; a longer gap means that the connection or the path failed. */
+/**
+ * Longest gap between heartbeats of a run, ms. They are sent every 300 ms; a longer gap means that the connection or
+ * the path failed.
+ */
 const HEARTBEAT_TIMEOUT_MS = 750;
 
 /** Longest wait for one reattach attempt before the next, ms. */
@@ -28,7 +31,7 @@
   readonly callerService: string;
   readonly clock: Clock;
   readonly log: bunyan;
-  /** Called when contact with the sidecar local to the target is lost. */
+  /** Called when contact with the target's local sidecar is lost or cannot be established. */
   readonly onSilence: () => void;
 }
 
@@ -120,8 +123,8 @@
   }
 
   /**
-   * No connection could be opened, so the request has not run and can go to another target. If it were reported as in
-   * doubt, the caller could not resend it, and a non-idempotent run would be reattached in vain until its deadline.
+   * No connection could be opened, so the request has not run and can go to another target. Handled as in doubt, the
+   * caller could not resend it, and reattaching to a non-idempotent run would be tried until the deadline.
    */
   #onNotSent({ message: reason }: NotSentError): void {
     const { attempt } = this.#req;
--- a/src/sidecar/routing/RetryBudget.test.ts
+++ b/src/sidecar/routing/RetryBudget.test.ts
@@ -93,8 +93,8 @@
 });
 
 test("budget: restarted sidecars do not spend the fleet's slack twice in one window", async (t) => {
-  // A rolling restart during a storm of refusals. Guards against a sidecar that spends its share of the slack, restarts,
-  // and spends the share again within the same window.
+  // A rolling restart during a storm of refusals. Guards against a sidecar that spends its share of the slack,
+  // restarts, and spends the share again within the same window.
   const members = 24;
   const clock = new FakeClock();
   const random = seededRandom(5);
@@ -131,7 +131,7 @@
     while (tryRetry(budget)) {
       extras += 1;
     }
-    allowed += budget.figures.allowed;
+    allowed += budget.usage.allowed;
   }
   t.true(Math.abs(extras - allowed) <= 0.05 * allowed, `${extras} of ${allowed}`);
 });
--- a/src/sidecar/routing/RetryBudget.ts
+++ b/src/sidecar/routing/RetryBudget.ts
@@ -26,7 +26,10 @@
   readonly members: () => number;
   /** Start time of this process on `clock`, ms. */
   readonly startedAt: number;
-  /** Smallest fraction of an extra request that is rounded up to a whole one, in (0, 1]; drawn at random in each process. */
+  /**
+   * Smallest fraction of an extra request that is rounded up to a whole one, in (0, 1]; drawn at random in each
+   * process.
+   */
   readonly roundingThreshold: number;
 }
 
@@ -61,13 +64,13 @@
    * budget. Each process rounds at its own random threshold instead, which evens out over the fleet.
    */
   canSpend(n: number): boolean {
-    const { extras, allowed } = this.figures;
+    const { extras, allowed } = this.usage;
     return extras + n * this.#deps.roundingThreshold <= allowed;
   }
 
-  /** Whether `n` extra requests may be lent to another sidecar now; for lending, a fractional remainder is not rounded up. */
+  /** Whether `n` extra requests may be lent to another sidecar now; a fractional remainder is not rounded up here. */
   canLend(n: number): boolean {
-    const { extras, allowed } = this.figures;
+    const { extras, allowed } = this.usage;
     return extras + n <= allowed;
   }
 
@@ -77,7 +80,7 @@
   }
 
   /** First tries and extra requests in the window that ends now, and the number of extra requests allowed in it. */
-  get figures(): { firstTries: number; extras: number; allowed: number } {
+  get usage(): { firstTries: number; extras: number; allowed: number } {
     const now = this.#deps.clock.now();
     const firstTries = this.#firstTries.valueAt(now);
     const allowed = SAFETY_FACTOR * (this.#deps.rule().ratio * firstTries + this.#slackShare(now));
--- a/src/sidecar/routing/RetryBudgets.ts
+++ b/src/sidecar/routing/RetryBudgets.ts
@@ -68,7 +68,9 @@
     return true;
   }
 
-  /** Lends retry tokens to another sidecar by charging its extra requests here; false if the budgets do not allow it. */
+  /**
+   * Lends retry tokens to another sidecar by charging its extra requests here; false if the budgets do not allow it.
+   */
   lend(costs: readonly RetryCost[]): boolean {
     const canLend = costs.every(({ service, n }) => this.#budget(service).canLend(n));
     if (canLend) {
@@ -77,9 +79,9 @@
     return canLend;
   }
 
-  /** Current usage of each service's budget. */
-  get figures(): { service: string; figures: RetryBudget["figures"] }[] {
-    return [...this.#budgets].map(([service, budget]) => ({ service, figures: budget.figures }));
+  /** Current usage of each service's budget. Written to the log as it is, so its field names must stay. */
+  get figures(): { service: string; figures: RetryBudget["usage"] }[] {
+    return [...this.#budgets].map(([service, budget]) => ({ service, figures: budget.usage }));
   }
 
   /** What a retry or hedge of a request on the route costs, by service. */
--- a/src/sidecar/routing/RetryTokenBorrower.test.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.test.ts
@@ -61,7 +61,7 @@
 const RULE = { ratio: 0.2, windowMs: 10_000, slack: 200 };
 
 for (const seed of [1, 2, 3]) {
-  test(`retry tokens: borrowing keeps the fleet's extra requests within its budget in every window (seed ${seed})`, async (t) => {
+  test(`retry tokens: borrowing keeps the fleet within its budget in every window (seed ${seed})`, async (t) => {
     // The sidecars of one availability zone meet a gray service, retry as often as they can for half a minute, and
     // borrow from all others. Guards against lent tokens that the lender does not count against its own share.
     const clock = new FakeClock();
--- a/src/sidecar/routing/RetryTokenBorrower.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.ts
@@ -14,10 +14,10 @@
 }
 
 /**
- * Borrows retry tokens from other sidecars' shares of the fleet's retry budget. Among hundreds of sidecars each share is
- * one or two extra requests per window: most go unused, while a sidecar that meets a gray target twice could not retry.
- * The total stays within the budget: a lender counts a token as spent when it lends it, a token is used at once or not at
- * all, and a lender that restarts has no share of the slack for one window.
+ * Borrows retry tokens from other sidecars' shares of the fleet's retry budget. Among hundreds of sidecars each share
+ * is one or two extra requests per window: most go unused, while a sidecar that meets a gray target twice could not
+ * retry. The total stays within the budget: a lender counts a token as spent when it lends it, a token is used at once
+ * or not at all, and a lender that restarts has no share of the slack for one window.
  */
 export class RetryTokenBorrower {
   readonly #deps: RetryTokenBorrowerDeps;
--- a/src/sidecar/routing/RouteIndex.ts
+++ b/src/sidecar/routing/RouteIndex.ts
@@ -9,7 +9,9 @@
 /** Priority of simple routes: the default priority of a full route. */
 const SIMPLE_ROUTE_PRIORITY = 1;
 
-/** Builds the match of a request that a route's prefix selected; undefined if the document lacks the route's service. */
+/**
+ * Builds the match of a request that a route's prefix selected; undefined if the document lacks the route's service.
+ */
 type Matcher = (method: string, path: string, draw: Draw) => RouteMatch | undefined;
 
 /** Returns the next sample in [0, 1) of a route, which selects an entry of its weighted split. */
@@ -126,7 +128,10 @@
   return split.findLast((entry) => entry.weight > 0)?.service ?? "";
 }
 
-/** Matcher of a simple route, listed in its service as a path prefix: the request's kind decides whether it is idempotent. */
+/**
+ * Matcher of a simple route, listed in its service as a path prefix: the request's kind decides whether it is
+ * idempotent.
+ */
 function simpleRouteMatcher(service: Service): Matcher {
   const timeoutMs = service.timeoutMs ?? 0;
   return (method, path) => {
--- a/src/sidecar/routing/TrafficClassifier.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -9,7 +9,9 @@
 
 const route = makeRoute({ name: "route" });
 
-/** A classifier local to a target that is idle for `idleShare` of the time; `idleArrivals` of the requests arrive then. */
+/**
+ * A classifier local to a target that is idle for `idleShare` of the time; `idleArrivals` of the requests arrive then.
+ */
 function rig(idleShare: number, idleArrivals: number) {
   const random = seededRandom(3);
   const weights: number[] = [];
@@ -133,7 +135,8 @@
 });
 
 test("traffic: the target's address is no evidence while all requests come from it", (t) => {
-  // Guards against classifying callers' requests as nested calls on platforms where callers reach the sidecar from its own VM.
+  // Guards against classifying callers' requests as nested calls where callers reach the sidecar from its own VM, as
+  // on some platforms.
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
   const classified = classifier.begin(route, RequestOrigin.TargetVm);
--- a/src/sidecar/routing/TrafficClassifier.ts
+++ b/src/sidecar/routing/TrafficClassifier.ts
@@ -9,10 +9,13 @@
  */
 const STRAY_CALL_RATIO = 0.02;
 
-/** The idle share is clamped to at least this and at most 1 minus this; below it, idle time can't be told from stray calls. */
+/** The idle share is clamped to [this, 1 - this]; below it, idle time is indistinguishable from stray calls. */
 const MIN_IDLE_SHARE = 2 * STRAY_CALL_RATIO;
 
-/** Bound on the absolute evidence, nats. It stays revisable, since a new document version may reuse a route's name for other requests. */
+/**
+ * Bound on the absolute evidence, nats. It stays revisable, since a new document version may reuse a route's name for
+ * other requests.
+ */
 const MAX_EVIDENCE_NATS = 6;
 
 /** Evidence from which requests are classified as nested calls or as caller requests, nats: odds of 9 to 1. */
@@ -51,7 +54,10 @@
   readonly #deps: TrafficClassifierDeps;
   /** Evidence that requests are nested calls rather than callers' requests, nats, by route and origin. */
   readonly #evidenceNats = new Map<string, number>();
-  /** Whether a request came from an address other than the target's. Until then callers may share it, so it is no evidence. */
+  /**
+   * Whether a request came from an address other than the target's. Until then callers may share it, so it is no
+   * evidence.
+   */
   #sawOtherAddress = false;
   /** Weight last logged, by route and origin. */
   readonly #loggedWeights = new Map<string, number>();
@@ -87,7 +93,7 @@
     return bounded;
   }
 
-  /** Evidence from a request that arrives now, nats. 0 if the target is busy and almost never idle: both kinds of request arrive then. */
+  /** Evidence from a request that arrives now, nats. 0 at a busy, almost never idle target: both kinds arrive then. */
   #arrivalEvidence(): number {
     const { count, idleShare } = this.#deps.runs;
     if (count > 0 && idleShare < MIN_IDLE_SHARE) {
@@ -108,7 +114,10 @@
   }
 }
 
-/** Weight of a request as a nested call: 1 if classified as one, 0 if classified as a caller's request, 0.5 if undecided. */
+/**
+ * Weight of a request as a nested call: 1 if classified as one, 0 if classified as a caller's request, 0.5 if
+ * undecided.
+ */
 function callWeight(nats: number): number {
   if (Math.abs(nats) < DECISION_NATS) {
     return 0.5;
