--- a/src/sidecar/routing/RemoteRun.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -17,7 +17,7 @@
  */
 const HEARTBEAT_TIMEOUT_MS = 750;
 
-/** Longest wait for one reattach attempt before the next, ms. */
+/** Longest wait for the first heartbeat or the result of a reattach attempt before the next attempt, ms. */
 const REATTACH_TIMEOUT_MS = 500;
 
 /**
@@ -102,7 +102,8 @@
     };
   }
 
-  #track(pending: PendingCall<ForwardResult>, isFirst: boolean): void {
+  /** @param isOriginal false for reattach attempts, whose failures are covered by the timer of `#reattach` */
+  #track(pending: PendingCall<ForwardResult>, isOriginal: boolean): void {
     this.#pending.add(pending);
     pending.answer.then(
       (result) => {
@@ -112,9 +113,9 @@
       },
       (err: unknown) => {
         this.#pending.delete(pending);
-        if (!this.#finished && isFirst && err instanceof NotSentError) {
+        if (!this.#finished && isOriginal && err instanceof NotSentError) {
           this.#onNotSent(err);
-        } else if (!this.#finished && isFirst) {
+        } else if (!this.#finished && isOriginal) {
           const reason = err instanceof Error ? err.message : String(err);
           this.#onContactLost(`the connection was lost: ${reason}`);
         }
