--- a/src/membership/DatagramLink.ts
+++ b/src/membership/DatagramLink.ts
@@ -6,38 +6,39 @@
 import type { NoteBytes } from "../common/rpc/NoteBytes.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 
-type News = ProtoTypes["News"];
+type GossipMessage = ProtoTypes["News"];
 type Datagram = ProtoTypes["Datagram"];
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** A probe, or its answer, is lost now and then: it is sent a second time after this long, ms. */
-const RESEND_MS = 120;
+/** A request without a reply is resent once after this long, ms, since datagrams get lost. */
+const RESEND_AFTER_MS = 120;
 
-/** A probe not answered by then has failed, ms; across zones an answer takes 3. */
-const PROBE_MS = 400;
+/** Time after which a probe has failed, ms; a round trip between zones takes 3 ms. */
+const PROBE_TIMEOUT_MS = 400;
 
-/** An indirect probe takes two hops, and its helper may have to send twice, ms. */
-const INDIRECT_MS = 700;
+/** Timeout of an indirect probe, ms: it takes two hops, and the helper may have to resend its own probe. */
+const INDIRECT_PROBE_TIMEOUT_MS = 700;
 
-/** How what other members send is answered. */
+/** Handlers for the requests and messages of other members. */
 export interface DatagramHandlers {
-  onProbe(news: News): News;
-  /** Tells where the view here differs from the one of which these are digests. */
-  onCompare(digests: readonly number[]): News;
-  /** Probes the member at `address` for another; rejects when it does not answer. */
+  /** Handles a probe and the gossip that it carries; returns the reply. */
+  onProbe(gossip: GossipMessage): GossipMessage;
+  /** Returns the entries in which the local view differs from the view with these digests. */
+  onCompare(digests: readonly number[]): GossipMessage;
+  /** Probes the member at `address` on behalf of another member; rejects when it does not reply. */
   onProbeFor(address: string): Promise<void>;
-  /** Takes what is said between gates and those who ask them for slots; left out where there is no gate. */
+  /** Handles a message between a gate and a sidecar that requests slots from it; absent where there is no gate. */
   onGate?(message: GateMessage, from: string): void;
 }
 
-/** A question under way. */
-interface Question {
-  readonly answer: (message: Datagram) => void;
+/** A request that waits for its reply. */
+interface PendingRequest {
+  readonly complete: (message: Datagram) => void;
   readonly fail: (err: Error) => void;
   readonly timers: readonly Timer[];
 }
 
-const NOTHING: Omit<Datagram, "id"> = {
+const EMPTY_DATAGRAM: Omit<Datagram, "id"> = {
   probe: null,
   answer: null,
   probe_for: "",
@@ -47,34 +48,36 @@
 };
 
 /**
- * The fleet's small messages that may be lost, as datagrams: those of membership, and between gates and
- * those who ask them for slots. They take a ninth of a gRPC call's processor time, and no connection
- * that could be stuck after a cut, which is what probes are to find out.
+ * Sends and receives the fleet's small messages that may be lost as UDP datagrams: those of the membership
+ * protocol, and those between gates and the sidecars that request slots from them. A datagram takes a ninth
+ * of the processor time of a gRPC call. It also needs no connection, which could hang after a network
+ * partition; a probe over a hung connection would not show whether the member is reachable.
  */
 export class DatagramLink implements IDisposable {
   readonly #socket: Socket = createSocket("udp4");
   readonly #clock: Clock;
-  readonly #note: NoteBytes;
-  readonly #questions = new Map<number, Question>();
+  readonly #noteBytes: NoteBytes;
+  readonly #pending = new Map<number, PendingRequest>();
   #handlers: DatagramHandlers | undefined;
   #nextId = 1;
   #closed = false;
 
-  constructor(clock: Clock, note: NoteBytes) {
+  /** @param noteBytes called with the kind and size of every datagram, sent or received */
+  constructor(clock: Clock, noteBytes: NoteBytes) {
     this.#clock = clock;
-    this.#note = note;
+    this.#noteBytes = noteBytes;
   }
 
-  /** Listens at `hostPort` and answers by `handlers`. */
+  /** Binds the socket to `hostPort` and passes incoming messages to `handlers`. */
   async listen(hostPort: string, handlers: DatagramHandlers): Promise<void> {
     this.#handlers = handlers;
     this.#socket.on("message", (bytes, from) => {
       this.#receive(bytes, `${from.address}:${from.port}`);
     });
-    // Refused and unreachable destinations show as errors of the socket; the question
-    // then stays without an answer, which is what counts.
+    // Refused and unreachable destinations are reported as socket errors. They need no handling here:
+    // the request gets no reply and times out.
     this.#socket.on("error", () => undefined);
-    const [host, port] = split(hostPort);
+    const [host, port] = splitHostPort(hostPort);
     await new Promise<void>((resolve, reject) => {
       this.#socket.once("error", reject);
       this.#socket.bind(port, host, () => {
@@ -84,119 +87,125 @@
     });
   }
 
-  /** Probes the member at `address`; rejects when it does not answer in time. */
-  async probe(address: string, news: News): Promise<News> {
-    return answerOf(await this.#ask(address, { ...NOTHING, probe: news }, PROBE_MS));
+  /** Probes the member at `address`; rejects when it does not reply in time. */
+  async probe(address: string, gossip: GossipMessage): Promise<GossipMessage> {
+    return gossipOf(
+      await this.#request(address, { ...EMPTY_DATAGRAM, probe: gossip }, PROBE_TIMEOUT_MS),
+    );
   }
 
-  /** Has the member at `address` compare its view with these digests; rejects when it does not answer in time. */
-  async compare(address: string, digests: readonly number[]): Promise<News> {
+  /** Asks the member at `address` for the entries that differ from these digests; rejects when it does not reply in time. */
+  async compare(address: string, digests: readonly number[]): Promise<GossipMessage> {
     const compare = { digests: [...digests] };
-    return answerOf(await this.#ask(address, { ...NOTHING, compare }, PROBE_MS));
+    return gossipOf(await this.#request(address, { ...EMPTY_DATAGRAM, compare }, PROBE_TIMEOUT_MS));
   }
 
-  /** Has the member at `address` probe the one at `target`; rejects when that one does not answer it in time. */
+  /** Asks the member at `address` to probe the member at `target`; rejects unless both reply in time. */
   async probeFor(address: string, target: string): Promise<void> {
-    await this.#ask(address, { ...NOTHING, probe_for: target }, INDIRECT_MS);
+    await this.#request(
+      address,
+      { ...EMPTY_DATAGRAM, probe_for: target },
+      INDIRECT_PROBE_TIMEOUT_MS,
+    );
   }
 
-  /** Tells a gate, or one who asked it; whether that arrives is not known. */
+  /** Sends a message to a gate, or to a sidecar that requested a slot; it may get lost without notice. */
   tell(address: string, gate: GateMessage): void {
-    this.#send(datagramCodec.encode({ ...NOTHING, id: 0, gate }), address, "GateDatagram");
+    this.#send(datagramCodec.encode({ ...EMPTY_DATAGRAM, id: 0, gate }), address, "GateDatagram");
   }
 
-  /** Closes the socket; questions under way, and any asked from here on, fail. */
+  /** Closes the socket; pending and later requests are rejected. */
   dispose(): void {
     if (this.#closed) {
       return;
     }
     this.#closed = true;
     this.#socket.close();
-    for (const question of this.#questions.values()) {
-      question.fail(new Error("the link was closed"));
+    for (const request of this.#pending.values()) {
+      request.fail(new Error("datagram link was closed before the reply arrived"));
     }
   }
 
-  #ask(address: string, message: Omit<Datagram, "id">, timeoutMs: number): Promise<Datagram> {
+  #request(address: string, message: Omit<Datagram, "id">, timeoutMs: number): Promise<Datagram> {
     if (this.#closed) {
-      return Promise.reject(new Error("the link is closed"));
+      return Promise.reject(new Error("datagram link is closed"));
     }
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
     const bytes = datagramCodec.encode({ id, ...message });
     return new Promise((resolve, reject) => {
-      const end = () => {
-        this.#questions.get(id)?.timers.forEach((t) => {
+      const cleanUp = () => {
+        this.#pending.get(id)?.timers.forEach((t) => {
           t.cancel();
         });
-        this.#questions.delete(id);
+        this.#pending.delete(id);
       };
-      const resend = this.#clock.after(RESEND_MS, () => {
+      const resend = this.#clock.after(RESEND_AFTER_MS, () => {
         this.#send(bytes, address);
       });
       const fail = (err: Error) => {
-        end();
+        cleanUp();
         reject(err);
       };
-      const giveUp = this.#clock.after(timeoutMs, () => {
-        fail(new Error(`${address} did not answer`));
+      const timeout = this.#clock.after(timeoutMs, () => {
+        fail(new Error(`${address} did not reply in time`));
       });
-      const answer = (reply: Datagram) => {
-        end();
+      const complete = (reply: Datagram) => {
+        cleanUp();
         resolve(reply);
       };
-      this.#questions.set(id, { answer, fail, timers: [resend, giveUp] });
+      this.#pending.set(id, { complete, fail, timers: [resend, timeout] });
       this.#send(bytes, address);
     });
   }
 
   #receive(bytes: Buffer, from: string): void {
     const message = datagramCodec.decode(bytes);
-    this.#note(message?.gate ? "GateDatagram" : "Datagram", bytes.length);
+    this.#noteBytes(message?.gate ? "GateDatagram" : "Datagram", bytes.length);
     if (!message) {
-      return; // Not one of ours.
+      return; // Not a datagram of this protocol.
     }
     const { id, probe, answer, probe_for: target, reached, gate, compare } = message;
     if (gate) {
       this.#handlers?.onGate?.(gate, from);
     } else if (answer || reached) {
-      this.#questions.get(id)?.answer(message);
+      this.#pending.get(id)?.complete(message);
     } else if (probe && this.#handlers) {
-      this.#answer(id, from, this.#handlers.onProbe(probe));
+      this.#reply(id, from, this.#handlers.onProbe(probe));
     } else if (compare && this.#handlers) {
-      this.#answer(id, from, this.#handlers.onCompare(compare.digests));
+      this.#reply(id, from, this.#handlers.onCompare(compare.digests));
     } else if (target !== "") {
       this.#handlers?.onProbeFor(target).then(
         () => {
-          this.#send(datagramCodec.encode({ ...NOTHING, id, reached: true }), from);
+          this.#send(datagramCodec.encode({ ...EMPTY_DATAGRAM, id, reached: true }), from);
         },
-        () => undefined, // Silence tells the asker that it was not reached from here either.
+        () => undefined, // No reply is sent, so the indirect probe of the requester times out.
       );
     }
   }
 
-  #answer(id: number, to: string, answer: News): void {
-    this.#send(datagramCodec.encode({ ...NOTHING, id, answer }), to);
+  #reply(id: number, to: string, answer: GossipMessage): void {
+    this.#send(datagramCodec.encode({ ...EMPTY_DATAGRAM, id, answer }), to);
   }
 
   #send(bytes: Buffer, address: string, kind = "Datagram"): void {
     if (this.#closed) {
-      return; // A closed socket throws, and an answer that comes too late is nobody's loss.
+      return; // Sending on a closed socket throws; a message lost at shutdown does no harm.
     }
-    this.#note(kind, bytes.length);
-    const [host, port] = split(address);
+    this.#noteBytes(kind, bytes.length);
+    const [host, port] = splitHostPort(address);
     this.#socket.send(bytes, port, host, () => undefined);
   }
 }
 
-function answerOf({ answer }: Datagram): News {
+function gossipOf({ answer }: Datagram): GossipMessage {
   if (!answer) {
-    throw new Error("answered without news");
+    throw new Error("reply without gossip");
   }
   return answer;
 }
 
-function split(hostPort: string): [string, number] {
+function splitHostPort(hostPort: string): [string, number] {
   const at = hostPort.lastIndexOf(":");
   return [hostPort.slice(0, at), Number(hostPort.slice(at + 1))];
 }
