--- a/src/membership/RumorQueue.ts
+++ b/src/membership/RumorQueue.ts
@@ -1,69 +1,74 @@
-/** Each piece of news is passed on this many times log2 of the members at most: enough to reach all with high probability. */
-const REPEATS = 3;
+/** A rumor is sent at most this many times log2 of the member count: enough to reach all members with high probability. */
+const SENDS_PER_LOG2_MEMBERS = 3;
 
-/** Members of the own zone that are seen to have a piece of news already, after which it is no news there. */
-const KNOWN_NEAR = 2;
+/** A rumor is dropped once this many members of the own zone, and {@link DUPLICATES_FAR} others, had it already. */
+const DUPLICATES_NEAR = 2;
 
-/** The same for members of other zones: without one, news could end before it has left its zone. */
-const KNOWN_FAR = 1;
+/** The same for members of other zones; with 0, a rumor could be dropped before it has left its zone. */
+const DUPLICATES_FAR = 1;
 
-/** Where a member stands, as seen from this one. */
+/** Whether a member is in the zone of this one (`near`) or in another (`far`). */
 export type Distance = "near" | "far";
 
-/** A piece of news under way. */
+/** The state of one rumor: the newest entry of one member, while it is being spread. */
 interface Rumor {
-  /** Times that it may still be passed on. */
-  left: number;
-  /** Members that must still be seen to have it. */
-  readonly unknown: Record<Distance, number>;
+  /** Number of times that it may still be sent. */
+  sendsLeft: number;
+  /** Number of members that must still report that they had it already before it is dropped. */
+  readonly duplicatesNeeded: Record<Distance, number>;
 }
 
 /**
- * News waiting to ride on the next messages: each piece is passed on until enough of those who get it are seen to have it
- * already (rumor mongering with feedback and counters; Demers et al., "Epidemic algorithms for replicated
- * database maintenance", PODC 1987), and never more often than SWIM's infection-style dissemination would.
- * A count that only grows with the fleet sends each member news some twenty times over once there are hundreds.
- * What was passed on least goes first, and newer news of the same member takes the place of older.
+ * The rumors to piggyback on the next gossip messages, by member id. A rumor is sent until enough of its receivers
+ * report that they had it already (rumor mongering with feedback and counters; Demers et al., "Epidemic algorithms
+ * for replicated database maintenance", PODC 1987), and never more often than in SWIM's infection-style
+ * dissemination. SWIM's limit alone, which only grows with the fleet, delivers each update to each member some twenty
+ * times once there are hundreds of members. Rumors that were sent least go first, and a newer rumor of the same
+ * member replaces the older one.
  */
 export class RumorQueue {
   readonly #rumors = new Map<string, Rumor>();
 
-  /** Queues news of `id`, for so many other members in the own zone and in others. */
+  /**
+   * Queues a rumor about member `id`, in place of an older one.
+   *
+   * @param others number of other live members, in the own zone and in other zones
+   */
   add(id: string, others: Record<Distance, number>): void {
     const members = 1 + others.near + others.far;
     this.#rumors.set(id, {
-      left: REPEATS * Math.ceil(Math.log2(members + 1)),
-      unknown: {
-        near: Math.min(KNOWN_NEAR, others.near),
-        far: Math.min(KNOWN_FAR, others.far),
+      sendsLeft: SENDS_PER_LOG2_MEMBERS * Math.ceil(Math.log2(members + 1)),
+      duplicatesNeeded: {
+        near: Math.min(DUPLICATES_NEAR, others.near),
+        far: Math.min(DUPLICATES_FAR, others.far),
       },
     });
   }
 
-  /** Up to `most` ids to pass on now, but for those that the receiver is known to have. */
-  take(most: number, known: ReadonlySet<string> = new Set()): string[] {
+  /** Up to `limit` member ids to send now, without those whose entries the receiver is `known` to have. */
+  take(limit: number, known: ReadonlySet<string> = new Set()): string[] {
     const next = [...this.#rumors]
       .filter(([id]) => !known.has(id))
-      .sort(([, a], [, b]) => b.left - a.left)
-      .slice(0, most);
+      .sort(([, a], [, b]) => b.sendsLeft - a.sendsLeft)
+      .slice(0, limit);
     for (const [id, rumor] of next) {
-      rumor.left -= 1;
-      this.#endIfOld(id, rumor);
+      rumor.sendsLeft -= 1;
+      this.#removeIfSpread(id, rumor);
     }
     return next.map(([id]) => id);
   }
 
-  /** Notes that a member had the news of `id` before it got it from here. */
+  /** Notes that the receiver of the rumor about `id`, in the own zone or in another, had it already. */
   noteKnown(id: string, by: Distance): void {
     const rumor = this.#rumors.get(id);
     if (rumor) {
-      rumor.unknown[by] = Math.max(0, rumor.unknown[by] - 1);
-      this.#endIfOld(id, rumor);
+      rumor.duplicatesNeeded[by] = Math.max(0, rumor.duplicatesNeeded[by] - 1);
+      this.#removeIfSpread(id, rumor);
     }
   }
 
-  #endIfOld(id: string, { left, unknown }: Rumor): void {
-    if (left <= 0 || unknown.near + unknown.far === 0) {
+  #removeIfSpread(id: string, { sendsLeft, duplicatesNeeded }: Rumor): void {
+    if (sendsLeft <= 0 || duplicatesNeeded.near + duplicatesNeeded.far === 0) {
       this.#rumors.delete(id);
     }
   }
