--- a/src/membership/ConfigSource.ts
+++ b/src/membership/ConfigSource.ts
@@ -1,10 +1,11 @@
 import type { DocumentUpdate } from "../common/document/DocumentUpdate.ts";
 
-/** The document in force here, as gossip passes it on. */
+/** The configuration document in force at this member, as shared with other members. */
 export interface ConfigSource {
+  /** Version in force at this member; 0 before any. */
   readonly version: number;
-  /** What brings a member with `version` up to date. */
+  /** The updates that bring a member with `version` up to date. */
   since(version: number): readonly DocumentUpdate[];
-  /** Takes a newer version from a peer. */
+  /** Applies an update received from a peer if it is newer. */
   offer(update: DocumentUpdate): unknown;
 }
