--- a/src/membership/DocumentCatchUp.test.ts
+++ b/src/membership/DocumentCatchUp.test.ts
@@ -7,20 +7,20 @@
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** How long control has before members are asked, ms. */
-const BEHIND_MS = 400;
+/** How long control may take before the document is fetched from members, ms. */
+const CONTROL_GRACE_MS = 400;
 
-/** A catch-up whose fetches a test answers. */
-function rig() {
+/** A catch-up whose fetches complete or fail when the test says so. */
+function setUp() {
   const clock = new FakeClock();
   const config = { version: 1 };
-  const fetches = new Map<string, { answer: (version: number) => void; fail: () => void }>();
+  const fetches = new Map<string, { respond: (version: number) => void; fail: () => void }>();
   const catchUp = new DocumentCatchUp({
     peers: {
       config: (address) =>
         new Promise<readonly DocumentUpdate[]>((resolve, reject) => {
           fetches.set(address, {
-            answer: (version) => {
+            respond: (version) => {
               resolve([{ kind: "whole", version, document: EMPTY_DOCUMENT }]);
             },
             fail: () => {
@@ -41,53 +41,53 @@
     clock,
     log,
   });
-  return { clock, config, fetches, catchUp, asked: () => [...fetches.keys()] };
+  return { clock, config, fetches, catchUp, fetchedFrom: () => [...fetches.keys()] };
 }
 
-test("catch-up: the newest version that was reported is fetched", async (t) => {
-  const { clock, config, fetches, catchUp, asked } = rig();
+test("catch-up fetches the newest reported version, and only once", async (t) => {
+  const { clock, config, fetches, catchUp, fetchedFrom } = setUp();
   catchUp.noteVersion("stale", 2);
   catchUp.noteVersion("newest", 5);
   catchUp.noteVersion("newer", 3);
-  await clock.advance(BEHIND_MS);
-  t.deepEqual(asked(), ["newest"]);
-  fetches.get("newest")?.answer(5);
+  await clock.advance(CONTROL_GRACE_MS);
+  t.deepEqual(fetchedFrom(), ["newest"]);
+  fetches.get("newest")?.respond(5);
   await clock.advance(0);
   await clock.advance(5000);
   t.is(config.version, 5);
-  t.deepEqual(asked(), ["newest"], "nobody else is asked");
+  t.deepEqual(fetchedFrom(), ["newest"], "no other member is asked");
 });
 
-test("catch-up: a member that does not answer is raced by others, and may still answer", async (t) => {
-  const { clock, config, fetches, catchUp, asked } = rig();
+test("catch-up races a slow member with at most three others, and still takes its response", async (t) => {
+  const { clock, config, fetches, catchUp, fetchedFrom } = setUp();
   for (const address of ["a", "b", "c", "d", "e", "f"]) {
     catchUp.noteVersion(address, 2);
   }
   await clock.advance(5000);
-  t.is(asked().length, 4, "bounded");
-  fetches.get(asked()[0] ?? "")?.answer(2);
+  t.is(fetchedFrom().length, 4, "concurrent fetches are bounded");
+  fetches.get(fetchedFrom()[0] ?? "")?.respond(2);
   await clock.advance(0);
   await clock.advance(5000);
   t.is(config.version, 2);
-  t.is(asked().length, 4);
+  t.is(fetchedFrom().length, 4);
 });
 
-test("catch-up: after a failure another member is asked at once", async (t) => {
-  const { clock, fetches, catchUp, asked } = rig();
+test("catch-up asks another member at once after a failed fetch", async (t) => {
+  const { clock, fetches, catchUp, fetchedFrom } = setUp();
   catchUp.noteVersion("a", 2);
   catchUp.noteVersion("b", 2);
-  await clock.advance(BEHIND_MS);
-  fetches.get(asked()[0] ?? "")?.fail();
+  await clock.advance(CONTROL_GRACE_MS);
+  fetches.get(fetchedFrom()[0] ?? "")?.fail();
   await clock.advance(1);
-  t.deepEqual(asked().sort(), ["a", "b"]);
+  t.deepEqual(fetchedFrom().sort(), ["a", "b"]);
 });
 
-test("catch-up: changes that control delivers one after the other are not fetched", async (t) => {
-  const { clock, config, catchUp, asked } = rig();
+test("catch-up does not fetch a series of changes that control delivers in time", async (t) => {
+  const { clock, config, catchUp, fetchedFrom } = setUp();
   for (let version = 2; version < 40; version++) {
     catchUp.noteVersion("a", version);
     await clock.advance(80);
     config.version = version;
   }
-  t.deepEqual(asked(), []);
+  t.deepEqual(fetchedFrom(), []);
 });
--- a/src/membership/DocumentCatchUp.ts
+++ b/src/membership/DocumentCatchUp.ts
@@ -5,14 +5,14 @@
 import type { ConfigSource } from "./ConfigSource.ts";
 import type { MembershipPeers } from "./MembershipPeers.ts";
 
-/** Control has this long to deliver a document that members have already, ms: it takes a tenth of a second. */
-const BEHIND_MS = 400;
+/** How long control may take to deliver a version that other members already have, ms; it usually takes 100 ms. */
+const CONTROL_GRACE_MS = 400;
 
-/** A fetch that is not answered within this time is raced by one from another member, ms. */
-const STAGGER_MS = 400;
+/** Time after which a fetch without a response is raced by a fetch from another member, ms. */
+const FETCH_STAGGER_MS = 400;
 
-/** Fetches at the same time, at most: some of the members may be cut off. */
-const MAX_FETCHES = 4;
+/** Most concurrent fetches; there are several because some of the members may be unreachable. */
+const MAX_CONCURRENT_FETCHES = 4;
 
 interface DocumentCatchUpDeps {
   readonly peers: Pick<MembershipPeers, "config">;
@@ -22,18 +22,19 @@
 }
 
 /**
- * Fetches a newer document from members that report one, once control has not delivered it for a while. This takes an
- * accepted change to sidecars that cannot reach control, or whose replicas were cut off. Fetched at once, each change
- * would be fetched by most of the fleet over connections opened for it, moments before control delivers it.
+ * Fetches a newer configuration document from members that report one, if control has not delivered it within
+ * {@link CONTROL_GRACE_MS}. This brings accepted changes to sidecars that cannot reach control, or that follow only
+ * replicas cut off by a network partition. Without the delay, most of the fleet would open connections to fetch each
+ * change moments before control delivers it.
  */
 export class DocumentCatchUp implements IDisposable {
   readonly #deps: DocumentCatchUpDeps;
-  /** Versions that members reported, newer than the one in force here, by the members' addresses. */
+  /** Versions reported by members that are newer than the one in force at this sidecar, by member address. */
   readonly #reported = new Map<string, number>();
   readonly #fetching = new Set<string>();
-  /** The first version that was missing here, and since when; it may have come meanwhile. */
+  /** The first version found missing, and when that was; it may have arrived meanwhile. */
   #missing = { version: 0, since: 0 };
-  /** Set while a newer version is known. */
+  /** Set while a newer version is known to exist. */
   #timer: Timer | undefined;
   #stopped = false;
 
@@ -41,19 +42,19 @@
     this.#deps = deps;
   }
 
-  /** Version in force here. */
+  /** Version in force at this sidecar. */
   get version(): number {
     return this.#deps.config.version;
   }
 
-  /** Notes that the member at `address` has `version`. */
+  /** Records that the member at `address` has `version`. */
   noteVersion(address: string, version: number): void {
     if (version <= this.version) {
       return;
     }
     this.#reported.set(address, version);
-    this.#noteMissing();
-    this.#timer ??= this.#after(this.#controlHasMs);
+    this.#updateMissing();
+    this.#timer ??= this.#scheduleCatchUp(this.#graceLeftMs);
   }
 
   dispose(): void {
@@ -61,7 +62,7 @@
     this.#timer?.cancel();
   }
 
-  #after(ms: number): Timer {
+  #scheduleCatchUp(ms: number): Timer {
     return this.#deps.clock.after(Math.max(0, ms), () => {
       this.#catchUp();
     });
@@ -70,34 +71,34 @@
   #catchUp(): void {
     this.#timer?.cancel();
     this.#timer = undefined;
-    this.#dropReported();
+    this.#dropObsoleteReports();
     if (this.#reported.size === 0 || this.#stopped) {
       return;
     }
-    this.#noteMissing();
-    if (this.#controlHasMs > 0) {
-      this.#timer = this.#after(this.#controlHasMs);
+    this.#updateMissing();
+    if (this.#graceLeftMs > 0) {
+      this.#timer = this.#scheduleCatchUp(this.#graceLeftMs);
     } else {
       this.#fetchNewest();
-      this.#timer = this.#after(STAGGER_MS);
+      this.#timer = this.#scheduleCatchUp(FETCH_STAGGER_MS);
     }
   }
 
-  /** Time that control still has to deliver what is missing here, ms. */
-  get #controlHasMs(): number {
-    return this.#missing.since + BEHIND_MS - this.#deps.clock.now();
+  /** Time left for control to deliver the missing version, ms. */
+  get #graceLeftMs(): number {
+    return this.#missing.since + CONTROL_GRACE_MS - this.#deps.clock.now();
   }
 
-  /** Notes what is missing, where what was missing has come. */
-  #noteMissing(): void {
+  /** Starts a new grace period with the newest reported version, if the previously missing version has arrived. */
+  #updateMissing(): void {
     if (this.#missing.version <= this.version) {
       const version = Math.max(...this.#reported.values());
       this.#missing = { version, since: this.#deps.clock.now() };
     }
   }
 
-  /** Drops reports of versions that have come. */
-  #dropReported(): void {
+  /** Drops reports of versions that have arrived. */
+  #dropObsoleteReports(): void {
     for (const [address, version] of this.#reported) {
       if (version <= this.version) {
         this.#reported.delete(address);
@@ -105,11 +106,11 @@
     }
   }
 
-  /** Fetches from one of the members with the newest version. */
+  /** Fetches from one of the members that reported the newest version, unless too many fetches are running. */
   #fetchNewest(): void {
-    const free = [...this.#reported].filter(([address]) => !this.#fetching.has(address));
-    const [newest] = free.sort(([, a], [, b]) => b - a);
-    if (newest && this.#fetching.size < MAX_FETCHES) {
+    const candidates = [...this.#reported].filter(([address]) => !this.#fetching.has(address));
+    const [newest] = candidates.sort(([, a], [, b]) => b - a);
+    if (newest && this.#fetching.size < MAX_CONCURRENT_FETCHES) {
       void this.#fetch(...newest);
     }
   }
@@ -123,11 +124,17 @@
       updates.forEach((u) => {
         config.offer(u);
       });
-      log.info({ from: address, reported, version: config.version }, "document fetched");
+      log.info(
+        { from: address, reported, version: config.version },
+        "fetched configuration document from a member",
+      );
     } catch (err) {
-      // It is gone, or cut off meanwhile.
+      // The member has left or is unreachable; another one is tried.
       const reason = err instanceof Error ? err.message : String(err);
-      log.info({ from: address, reported, reason }, "document not fetched");
+      log.info(
+        { from: address, reported, reason },
+        "could not fetch configuration document from a member",
+      );
     } finally {
       this.#fetching.delete(address);
       this.#catchUp();
