--- a/src/membership/VersionWatch.ts
+++ b/src/membership/VersionWatch.ts
@@ -1,7 +1,7 @@
-/** What gossip carries of the document: which version is in force here, and which ones other members report. */
+/** The document versions that gossip carries: the one in force at this member, and those that other members report. */
 export interface VersionWatch {
-  /** Version in force here. */
+  /** Version in force at this member; 0 before any. */
   readonly version: number;
-  /** Notes that the member at `address` has `version`. */
+  /** Records that the member at `address` has `version`. */
   noteVersion(address: string, version: number): void;
 }
