--- a/src/membership/hash32.ts
+++ b/src/membership/hash32.ts
@@ -2,13 +2,13 @@
 const FNV_BASIS = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 
-/** Multipliers of MurmurHash3's final mix. */
+/** Multipliers of MurmurHash3's 32-bit finalizer. */
 const MIX_A = 0x85ebca6b;
 const MIX_B = 0xc2b2ae35;
 
 /**
- * A 32-bit hash of short text: FNV-1a, whose bits are then mixed, since alone it is too regular for sums by
- * exclusive or. Cheap, and nobody gains by forging it.
+ * A 32-bit hash of a short text: FNV-1a followed by MurmurHash3's finalizer, since plain FNV-1a is too regular
+ * where hashes are combined by XOR. It is cheap; it need not be cryptographic, as there is no gain in a collision.
  */
 export function hash32(text: string): number {
   let hash = FNV_BASIS;
