--- a/src/membership/logMemberUpdates.ts
+++ b/src/membership/logMemberUpdates.ts
@@ -2,9 +2,9 @@
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 
 /**
- * Logs changes in what is believed of other members: that they are there, what stands beside them, that
- * they are gone. One line for all that came together: a line for each crowds out what became of requests
- * while a fleet is being restarted.
+ * Returns a listener that logs membership updates: members that joined, that are gone, or whose targets changed.
+ * Updates that arrived together share one line: with a line each, the restart of a fleet would crowd the request
+ * outcomes out of the log.
  */
 export function logMemberUpdates(log: bunyan): (members: readonly ProtoTypes["Member"][]) => void {
   return (members) => {
@@ -12,8 +12,8 @@
   };
 }
 
-/** `id@incarnation.revision`, then `gone`, or each target that stands beside it with its state. */
+/** `id@incarnation.revision`, then `gone`, or each local target of the member with its state. */
 function describe({ sidecar_id: id, gone, incarnation, revision, targets }: ProtoTypes["Member"]) {
-  const beside = gone ? ["gone"] : targets.map((t) => `${t.target_id} ${t.state}`);
-  return [`${id}@${incarnation}.${revision}`, ...beside].join(" ");
+  const details = gone ? ["gone"] : targets.map((t) => `${t.target_id} ${t.state}`);
+  return [`${id}@${incarnation}.${revision}`, ...details].join(" ");
 }
