--- a/src/membership/memberAddress.ts
+++ b/src/membership/memberAddress.ts
@@ -1,4 +1,4 @@
-/** A member's further addresses as they travel beside its first: `:port` where they have the same host. */
+/** Shortens a member's further addresses on the wire: `:port` where the host is that of its `first` address. */
 export const memberAddress = {
   shorten: (address: string, first: string): string => {
     const host = hostOf(first);
