--- a/src/membership/sampleOf.ts
+++ b/src/membership/sampleOf.ts
@@ -1,12 +1,12 @@
-/** Up to `most` different items of `pool`, drawn at random; `random` gives [0, 1). */
-export function sampleOf<T>(pool: readonly T[], most: number, random: () => number): T[] {
-  const places = new Set<number>();
-  while (places.size < Math.min(most, pool.length)) {
-    let at = Math.floor(random() * pool.length);
-    while (places.has(at)) {
-      at = (at + 1) % pool.length;
+/** Up to `limit` items from different indices of `pool`, drawn at random; `random` returns a number in [0, 1). */
+export function sampleOf<T>(pool: readonly T[], limit: number, random: () => number): T[] {
+  const indices = new Set<number>();
+  while (indices.size < Math.min(limit, pool.length)) {
+    let index = Math.floor(random() * pool.length);
+    while (indices.has(index)) {
+      index = (index + 1) % pool.length;
     }
-    places.add(at);
+    indices.add(index);
   }
-  return [...places].flatMap((at) => pool.slice(at, at + 1));
+  return [...indices].flatMap((index) => pool.slice(index, index + 1));
 }
