--- a/src/membership/peerHandlers.ts
+++ b/src/membership/peerHandlers.ts
@@ -4,7 +4,7 @@
 import type { ConfigSource } from "./ConfigSource.ts";
 import type { Membership } from "./Membership.ts";
 
-/** The gRPC handlers for whole views of the members and for the document in force here. */
+/** The gRPC handlers that exchange whole membership views and serve the configuration document in force. */
 export function peerHandlers(
   membership: Membership,
   source: Pick<ConfigSource, "since">,
