--- a/src/membership/PeerClients.ts
+++ b/src/membership/PeerClients.ts
@@ -4,22 +4,22 @@
 import type { PeerClient } from "./PeerClient.ts";
 
 /**
- * A connection that was not used for this long is closed, ms. Any member may be called at some time; with each of
- * hundreds kept open, a sidecar held more memory for connections than for all else.
+ * Idle time after which a connection is closed, ms. Any member may be called at some point; when the connections to
+ * hundreds of members were all kept open, they took more of a sidecar's memory than everything else.
  */
-const IDLE_MS = 3000;
+const IDLE_TIMEOUT_MS = 3000;
 
-/** Calls that fail in a row before a connection is opened afresh, at most. */
-const MOST_FAILURES = 4;
+/** Number of consecutive failed calls after which the connection is replaced. */
+const MAX_CONSECUTIVE_FAILURES = 4;
 
-const OPTIONS = { idleMs: IDLE_MS, mostFailures: MOST_FAILURES };
+const OPTIONS = { idleMs: IDLE_TIMEOUT_MS, mostFailures: MAX_CONSECUTIVE_FAILURES };
 
-/** One gRPC client per peer address, shared by all that talk to that peer. */
+/** One gRPC client per peer address, shared by all callers in this process. */
 export class PeerClients implements IDisposable {
   readonly #ctor: grpc.ServiceClientConstructor;
   readonly #clients = new Map<string, RenewedClient<PeerClient>>();
 
-  /** `service` is the Peer service's definition, metered or not. */
+  /** @param service definition of the Peer service, with or without metering of its calls */
   constructor(service: grpc.ServiceDefinition) {
     this.#ctor = grpc.makeGenericClientConstructor(service, "Peer");
   }
