--- a/src/membership/TargetState.ts
+++ b/src/membership/TargetState.ts
@@ -1,9 +1,9 @@
-/** How a target described itself in its last announcement. */
+/** The state that a target reported in its last announcement. */
 export enum TargetState {
-  /** Takes new work. */
+  /** Accepts new requests. */
   Ready = "ready",
-  /** Leaving: finishes work in flight, takes no new work. */
+  /** Shutting down: finishes requests in flight, accepts no new ones. */
   Draining = "draining",
-  /** Starting: takes no new work yet. */
+  /** Starting: accepts no requests yet. */
   Cold = "cold",
 }
