--- a/src/membership/TargetInfo.ts
+++ b/src/membership/TargetInfo.ts
@@ -3,25 +3,25 @@
 import type { ZoneName } from "../common/ids/ZoneName.ts";
 import type { TargetState } from "./TargetState.ts";
 
-/** One target as this sidecar knows it, from its own announcement or from gossip. */
+/** One target, as known from its announcement to this sidecar or from gossip. */
 export interface TargetInfo {
   readonly id: TargetId;
   readonly service: ServiceName;
-  /** Base URL of the target's HTTP, such as `http://127.0.0.1:9001`. */
+  /** Base URL of the target's HTTP server, such as `http://127.0.0.1:9001`; may be empty for a target known from gossip. */
   readonly url: string;
-  /** Requests it can work on at once. */
+  /** Number of requests that it can run at the same time. */
   readonly slots: number;
   readonly state: TargetState;
   readonly zone: ZoneName;
-  /** Where requests for it are sent: the sidecar beside it, host:port. */
+  /** Address to which requests for it are sent, host:port: the sidecar on its VM. */
   readonly hopAddress: string;
-  /** Where the gate to it is asked for slots, by datagrams, host:port. */
+  /** Address of its gate, to which slot requests are sent as datagrams, host:port. */
   readonly askAddress: string;
-  /** Path of its health endpoint; empty for none. */
+  /** Path of its health endpoint; empty if it has none. */
   readonly healthPath: string;
   /**
-   * Start of this life, Unix ms by its VM's clock; 0 where it does not tell. A target
-   * that starts again under its id knows nothing of what the life before it was given.
+   * Start time of this incarnation, Unix ms by its VM's clock; 0 if not announced. A target
+   * that restarts under the same id knows nothing of the requests sent to its previous incarnation.
    */
   readonly born: number;
 }
