--- a/src/membership/MembershipPeers.ts
+++ b/src/membership/MembershipPeers.ts
@@ -1,15 +1,16 @@
 import type { DocumentUpdate } from "../common/document/DocumentUpdate.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 
-/** Calls to other members, by address: over the network, or in a test. They reject when there is no answer in time. */
+/** Calls to other members by address, over the network or simulated in tests. They reject when there is no reply in time. */
 export interface MembershipPeers {
-  exchange(address: string, news: ProtoTypes["News"]): Promise<ProtoTypes["News"]>;
-  /** Entries of the view of the member at `address` where it differs from one with these digests. */
+  /** Probes the member at `address`, with gossip in both directions. */
+  exchange(address: string, gossip: ProtoTypes["News"]): Promise<ProtoTypes["News"]>;
+  /** Returns the entries in which the view of the member at `address` differs from a view with these digests. */
   compare(address: string, digests: readonly number[]): Promise<ProtoTypes["News"]>;
-  /** The whole view of the member at `address` for the caller's. */
+  /** Exchanges whole views: sends `members`, and returns the view of the member at `address`. */
   sync(address: string, members: ProtoTypes["Member"][]): Promise<ProtoTypes["Member"][]>;
-  /** Has the member at `address` probe the one at `target`; rejects when that one does not answer it. */
+  /** Asks the member at `address` to probe the member at `target`; rejects unless both reply. */
   probe(address: string, target: string): Promise<void>;
-  /** What the member at `address` knows of the document beyond `version`. */
+  /** Fetches the document updates after `version` from the member at `address`. */
   config(address: string, version: number): Promise<readonly DocumentUpdate[]>;
 }
