--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -7,13 +7,13 @@
 import type { MembershipPeers } from "./MembershipPeers.ts";
 import type { PeerClients } from "./PeerClients.ts";
 
-/** Whole views take longer than membership updates: 2 MB at the two-year size, ms. */
+/** Timeout for exchanging whole views, ms; longer than for gossip, since a view is 2 MB at the fleet size planned for in two years. */
 const SYNC_TIMEOUT_MS = 2000;
 
-/** A document may need a new connection over a congested link; members are asked in a race, so none is waited for, ms. */
+/** Timeout for fetching a document, ms. It may need a new connection over a congested link; a long timeout delays nobody, since members are asked in a race. */
 const CONFIG_TIMEOUT_MS = 6000;
 
-/** {@link MembershipPeers} over datagrams, and gRPC for what is too large for one. */
+/** {@link MembershipPeers} over UDP datagrams, and over gRPC for messages too large for a datagram. */
 export class NetworkPeers implements MembershipPeers, IDisposable {
   readonly #clients: PeerClients;
   readonly #link: DatagramLink;
@@ -23,8 +23,8 @@
     this.#link = link;
   }
 
-  exchange(address: string, news: ProtoTypes["News"]): Promise<ProtoTypes["News"]> {
-    return this.#link.probe(address, news);
+  exchange(address: string, gossip: ProtoTypes["News"]): Promise<ProtoTypes["News"]> {
+    return this.#link.probe(address, gossip);
   }
 
   compare(address: string, digests: readonly number[]): Promise<ProtoTypes["News"]> {
