--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -7,10 +7,13 @@
 import type { MembershipPeers } from "./MembershipPeers.ts";
 import type { PeerClients } from "./PeerClients.ts";
 
-/** Timeout for exchanging whole views, ms; longer than for gossip, since a view is 2 MB at the fleet size planned for in two years. */
+/** Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the two-year size. */
 const SYNC_TIMEOUT_MS = 2000;
 
-/** Timeout for fetching a document, ms. It may need a new connection over a congested link; a long timeout delays nobody, since members are asked in a race. */
+/**
+ * Timeout for fetching a document, ms. A fetch may need a new connection over a congested link. The long timeout
+ * delays nothing, since members are asked in a race.
+ */
 const CONFIG_TIMEOUT_MS = 6000;
 
 /** {@link MembershipPeers} over UDP datagrams, and over gRPC for messages too large for a datagram. */
