--- a/src/membership/hash32.ts
+++ b/src/membership/hash32.ts
@@ -8,7 +8,7 @@
 
 /**
  * A 32-bit hash of a short text: FNV-1a followed by MurmurHash3's finalizer, since plain FNV-1a is too regular
- * where hashes are combined by XOR. It is cheap; it need not be cryptographic, as there is no gain in a collision.
+ * where hashes are combined by XOR. It is cheap, and need not be cryptographic, since nobody gains by forging a hash.
  */
 export function hash32(text: string): number {
   let hash = FNV_BASIS;
