--- a/src/membership/RumorQueue.ts
+++ b/src/membership/RumorQueue.ts
@@ -1,7 +1,7 @@
 /** A rumor is sent at most this many times log2 of the member count: enough to reach all members with high probability. */
 const SENDS_PER_LOG2_MEMBERS = 3;
 
-/** A rumor is dropped once this many members of the own zone, and {@link DUPLICATES_FAR} others, had it already. */
+/** A rumor is dropped once this many members of the own zone, and {@link DUPLICATES_FAR} of others, had it already. */
 const DUPLICATES_NEAR = 2;
 
 /** The same for members of other zones; with 0, a rumor could be dropped before it has left its zone. */
