--- a/src/membership/LocalTargets.test.ts
+++ b/src/membership/LocalTargets.test.ts
@@ -21,29 +21,29 @@
 
 const cases: readonly { name: string; steps: readonly Step[]; live: readonly string[] }[] = [
   {
-    name: "one that announces itself is here",
+    name: "target is live after it announced itself",
     steps: [{ announce: "a", sequence: 1 }],
     live: ["a"],
   },
   {
-    name: "one that falls silent is gone",
+    name: "target that stops announcing itself is dropped after the timeout",
     steps: [{ announce: "a", sequence: 1 }, { wait: 1600 }],
     live: [],
   },
   {
-    name: "one that said goodbye does not come back by a late announcement",
+    name: "late announcement does not bring a withdrawn target back",
     steps: [{ announce: "a", sequence: 3 }, { withdraw: "a" }, { announce: "a", sequence: 4 }],
     live: [],
   },
   {
-    // The sidecar was restarted, so the goodbye is the first that it hears of the target;
-    // an announcement that was held up on its way comes after it.
-    name: "one whose goodbye is the first word of it does not come by a late announcement",
+    // The sidecar was restarted, so the withdrawal is the first message about the target;
+    // an announcement delayed on its way arrives after it.
+    name: "late announcement does not bring back a target that is known only from its withdrawal",
     steps: [{ withdraw: "a" }, { announce: "a", sequence: 4 }],
     live: [],
   },
   {
-    name: "another one at its address takes its place",
+    name: "new target at the same address replaces the old one",
     steps: [
       { announce: "a", sequence: 8 },
       { announce: "b", sequence: 1 },
@@ -51,8 +51,8 @@
     live: ["b"],
   },
   {
-    // A crash behind a cut: the announcement of the one that crashed arrives after the next has come.
-    name: "a late announcement of the one before does not take the place back",
+    // A target crashed during a partition, and its last announcement arrives after that of its successor.
+    name: "late announcement of a replaced target does not take the address back",
     steps: [
       { announce: "a", sequence: 8 },
       { announce: "b", sequence: 1 },
@@ -61,8 +61,8 @@
     live: ["b"],
   },
   {
-    // This sidecar was restarted, and heard first of the one that had crashed.
-    name: "one that was taken for replaced comes back when it goes on announcing itself",
+    // This sidecar was restarted; a late announcement of the crashed target then seems to replace the live one.
+    name: "target replaced by mistake comes back when it keeps announcing itself",
     steps: [
       { announce: "b", sequence: 5 },
       { announce: "a", sequence: 9 },
@@ -72,7 +72,7 @@
     live: ["b"],
   },
   {
-    name: "an announcement overtaken by a newer one changes nothing",
+    name: "announcement overtaken by a newer one does not extend the timeout",
     steps: [
       { announce: "a", sequence: 5 },
       { wait: 1000 },
@@ -82,7 +82,7 @@
     live: [],
   },
   {
-    name: "two at different addresses are both here",
+    name: "two targets at different addresses are both live",
     steps: [
       { announce: "a", sequence: 1 },
       { announce: "b", sequence: 1, url: "http://127.0.0.1:2" },
@@ -90,14 +90,14 @@
     live: ["a", "b"],
   },
   {
-    name: "one whose address answers for another is not here",
+    name: "target is not live once another one responds at its address",
     steps: [{ announce: "a", sequence: 1 }, { replaced: "a" }],
     live: [],
   },
   {
-    // A target crashed behind a cut and started again under its id: it counts anew from 1, and
-    // would be taken for a late announcement of its last life until it had caught up.
-    name: "one that started again under its id counts anew",
+    // A target crashed during a partition and restarted under its id. Its sequence numbers begin at 1 again, and
+    // would be taken for late ones of its previous incarnation until they had caught up.
+    name: "restarted target is live at once, although its sequence numbers begin at 1 again",
     steps: [
       { announce: "a", sequence: 40, born: 100 },
       { wait: 1600 },
@@ -106,7 +106,7 @@
     live: ["a@200"],
   },
   {
-    name: "a late announcement of its last life changes nothing",
+    name: "late announcement of the previous incarnation is ignored",
     steps: [
       { announce: "a", sequence: 40, born: 100 },
       { announce: "a", sequence: 1, born: 200 },
@@ -115,7 +115,7 @@
     live: ["a@200"],
   },
   {
-    name: "a goodbye of its last life does not remove it",
+    name: "withdrawal of the previous incarnation does not remove a restarted target",
     steps: [
       { announce: "a", sequence: 40, born: 100 },
       { announce: "a", sequence: 1, born: 200 },
@@ -124,7 +124,7 @@
     live: ["a@200"],
   },
   {
-    name: "one that said goodbye may start again under its id",
+    name: "withdrawn target can restart under its id",
     steps: [
       { announce: "a", sequence: 40, born: 100 },
       { withdraw: "a" },
@@ -133,7 +133,7 @@
     live: ["a@200"],
   },
   {
-    name: "one that was replaced and starts again under its id is believed at once",
+    name: "replaced target that restarts under its id is live at its first announcement",
     steps: [
       { announce: "a", sequence: 8, born: 100 },
       { announce: "b", sequence: 1, born: 200 },
@@ -142,8 +142,8 @@
     live: ["a@300"],
   },
   {
-    // The sidecar was restarted: the goodbye is the first it hears, and does not tell of which life.
-    name: "after a goodbye of an untold life, announcements that were held up do not bring it back",
+    // The sidecar was restarted: the withdrawal is the first message about the target, and has no start time.
+    name: "late announcements do not bring a target back after a withdrawal without a start time",
     steps: [
       { withdraw: "a" },
       { announce: "a", sequence: 8, born: 100 },
@@ -152,7 +152,7 @@
     live: [],
   },
   {
-    name: "after a goodbye of an untold life, one that goes on announcing itself has started again",
+    name: "target that keeps announcing itself after a withdrawal without a start time has restarted",
     steps: [
       { withdraw: "a" },
       { announce: "a", sequence: 1, born: 100 },
@@ -162,9 +162,9 @@
     live: ["a@100"],
   },
   {
-    // The sidecar was restarted and knows only the one that is there; the one before it had
-    // crashed, and an announcement of it was held up on its way.
-    name: "a late announcement of one that started earlier at its address does not take its place",
+    // The sidecar was restarted and knows only the live target; an announcement of its crashed
+    // predecessor was delayed on its way.
+    name: "late announcement of a target that started earlier at the address does not replace the live one",
     steps: [
       { announce: "b", sequence: 5, born: 200 },
       { announce: "a", sequence: 9, born: 100 },
@@ -172,7 +172,7 @@
     live: ["b@200"],
   },
   {
-    name: "the clock was set back between two starts: once the life that seems later is silent, the other counts",
+    name: "restarted target is accepted after its clock was set back, once its seemingly later incarnation is silent",
     steps: [
       { announce: "a", sequence: 40, born: 900 },
       { announce: "a", sequence: 1, born: 200 },
--- a/src/membership/LocalTargets.ts
+++ b/src/membership/LocalTargets.ts
@@ -3,82 +3,85 @@
 
 type Target = ProtoTypes["Target"];
 
-/** What is remembered of targets that were here, at most: one for each of the last so many restarts. */
-const REMEMBERED = 64;
+/** Maximum number of entries, unless more targets are live: if each restart brings a new id, one for each of the last restarts. */
+const MAX_ENTRIES = 64;
 
-/** One target beside this sidecar, or one that was. */
-interface Known {
-  /** As it announced itself last; undefined for one that was only heard to leave. */
+/** What is known of one current or former target on this VM. */
+interface TargetEntry {
+  /** Its last announcement; undefined if only its withdrawal was received. */
   target: Target | undefined;
-  /** The life that this is known of: see `Target.born`. */
+  /** Start time of the incarnation described here; see `Target.born`. */
   readonly born: number;
+  /** Time of its last announcement, ms. */
   announcedAt: number;
-  /** Number of the newest announcement of this life. */
+  /** Sequence number of the newest announcement of this incarnation. */
   sequence: number;
-  /** `replaced`: another target announced itself at its address. `left`: it said goodbye. */
+  /** `replaced`: another target uses its address now. `left`: it was withdrawn. */
   state: "here" | "replaced" | "left";
-  /** Announcements since it was replaced. */
-  comebacks: number;
+  /** Announcements received since it was replaced or withdrawn. */
+  confirmations: number;
 }
 
-/** A replaced target is believed to be back after this many new announcements: one may have been on its way for long. */
-const COMEBACKS_BELIEVED = 2;
+/** A replaced target is live again after this many new announcements, since a single one may have been delayed. */
+const RETURN_CONFIRMATIONS = 2;
 
 /**
- * A target that said goodbye without telling its life is believed to have started again after this
- * many announcements: two may have been on their way when it left.
+ * A target that was withdrawn without its start time is considered restarted after this many announcements,
+ * since two may have been in flight when it left.
  */
-const RESTART_BELIEVED = 3;
+const RESTART_CONFIRMATIONS = 3;
 
 /**
- * The targets beside this sidecar, from their announcements. Announcements may arrive
- * late, after their sender has ended and another target, or another life of the same
- * one, has taken its address: the newest life of each target counts, and its newest
- * number; a life that has left never comes back, and a target whose address has gone to
- * another must be heard of twice to be believed.
+ * The targets on this sidecar's VM, from their announcements. An announcement may arrive
+ * late, after its sender has ended and another target, or a new incarnation of the same
+ * one, uses its address. So only the newest incarnation of each target counts, and its newest
+ * sequence number. An incarnation that has left never comes back, and a target whose address
+ * was taken by another one must announce itself twice to be live again.
  */
 export class LocalTargets {
   readonly #now: () => number;
   readonly #timeoutMs: number;
-  readonly #known = new Map<string, Known>();
+  readonly #known = new Map<string, TargetEntry>();
 
   /**
-   * @param now steady clock, ms
-   * @param timeoutMs a target silent for this long is taken as gone
+   * @param now monotonic clock, ms
+   * @param timeoutMs a target that has not announced itself for this long is considered gone
    */
   constructor(now: () => number, timeoutMs: number) {
     this.#now = now;
     this.#timeoutMs = timeoutMs;
   }
 
-  /** Records an announcement; false for one that says nothing new. */
+  /** Records an announcement; false if it is outdated or not yet to be trusted. */
   announce(target: Target, sequence: number): boolean {
     const known = this.#known.get(target.target_id);
-    const isSameLife = known?.born === target.born;
-    if (known && !isSameLife && this.#isOlderLife(target, known)) {
+    const isSameIncarnation = known?.born === target.born;
+    if (known && !isSameIncarnation && this.#isOlderIncarnation(target, known)) {
       return false;
     }
-    if (known && isSameLife && (known.state === "left" || sequence < known.sequence)) {
+    if (known && isSameIncarnation && (known.state === "left" || sequence < known.sequence)) {
       return false;
     }
-    const isDoubtful =
-      known && !isSameLife ? isUnnamedGoodbye(known) : !this.#isBelieved(target, sequence, known);
-    if (isDoubtful) {
+    const isUnconfirmed =
+      known && !isSameIncarnation
+        ? isUnconfirmedRestart(known)
+        : !this.#isConfirmed(target, sequence, known);
+    if (isUnconfirmed) {
       return false;
     }
     this.#replaceOthersAt(target);
-    this.#remember(target.target_id, {
+    this.#store(target.target_id, {
       target,
       born: target.born,
       announcedAt: this.#now(),
       sequence,
       state: "here",
-      comebacks: 0,
+      confirmations: 0,
     });
     return true;
   }
 
-  /** Records that a target has said goodbye, in the life that began at `born`; 0 where it does not tell. */
+  /** Records that a target has left. `born` is the start time of the incarnation that left; 0 if not given. */
   withdraw(id: TargetId, born = 0): void {
     const known = this.#known.get(id);
     if (known && (born === 0 || born === known.born)) {
@@ -86,21 +89,21 @@
       return;
     }
     if (known && born < known.born) {
-      return; // Of a life before the one that is here.
+      return; // From an incarnation before the known one.
     }
-    // A goodbye may be the first that a restarted sidecar hears of a target: without this
-    // entry, an announcement that was held up on its way would bring the target back.
-    this.#remember(id, {
+    // After a restart of this sidecar, a withdrawal may be the first message about a target. Without
+    // this entry, an announcement delayed on its way would bring the target back.
+    this.#store(id, {
       target: undefined,
       born,
       announcedAt: this.#now(),
       sequence: Infinity,
       state: "left",
-      comebacks: 0,
+      confirmations: 0,
     });
   }
 
-  /** Another target answers at the address of `id`. */
+  /** Records that another target responds at the address of `id`. */
   noteReplaced(id: TargetId): void {
     const known = this.#known.get(id);
     if (known?.state === "here") {
@@ -108,58 +111,58 @@
     }
   }
 
-  /** Targets here now. */
+  /** The live targets. */
   live(): Target[] {
     return [...this.#known.values()]
       .filter((k) => k.state === "here" && this.#isFresh(k))
       .flatMap(({ target }) => target ?? []);
   }
 
-  /** Forgets every target: this sidecar is being stopped. */
+  /** Marks every target as left, because this sidecar is being stopped. */
   clear(): void {
     for (const known of this.#known.values()) {
       known.state = "left";
     }
   }
 
-  #isFresh({ announcedAt }: Known): boolean {
+  #isFresh({ announcedAt }: TargetEntry): boolean {
     return announcedAt >= this.#now() - this.#timeoutMs;
   }
 
   /**
-   * Whether an announcement is of a life before the one that is known. Starts are told
-   * by a clock that may be set back between two lives, so once the later one has been
-   * silent for as long as takes a target as gone, whichever speaks is here.
+   * Whether an announcement comes from an incarnation before the known one. Start times come
+   * from a clock that may be set back between two incarnations. So once the seemingly later one has
+   * been silent for the timeout, the one that announces itself is accepted.
    */
-  #isOlderLife(target: Target, known: Known): boolean {
+  #isOlderIncarnation(target: Target, known: TargetEntry): boolean {
     if (target.born === 0) {
       return known.state === "left" || this.#isFresh(known);
     }
     return target.born < known.born && this.#isFresh(known);
   }
 
-  /** Whether an announcement is to be acted on; where its address is another's, only once it is repeated. */
-  #isBelieved(target: Target, sequence: number, known: Known | undefined): boolean {
-    if (known?.state === "replaced" && ++known.comebacks < COMEBACKS_BELIEVED) {
+  /** Whether to accept an announcement; if another target uses its address, it must be repeated first. */
+  #isConfirmed(target: Target, sequence: number, known: TargetEntry | undefined): boolean {
+    if (known?.state === "replaced" && ++known.confirmations < RETURN_CONFIRMATIONS) {
       known.sequence = sequence;
       return false;
     }
-    if (!known && this.#isHeldByLater(target)) {
-      this.#remember(target.target_id, {
+    if (!known && this.#isAddressUsedByNewer(target)) {
+      this.#store(target.target_id, {
         target,
         born: target.born,
         announcedAt: this.#now(),
         sequence,
         state: "replaced",
-        comebacks: 0,
+        confirmations: 0,
       });
       return false;
     }
     return true;
   }
 
-  /** A target that started later announces itself at the same address: this one has likely ended. */
-  #isHeldByLater({ url, born, target_id: id }: Target): boolean {
+  /** Whether a target that started later is live at the same address, so that this one has likely ended. */
+  #isAddressUsedByNewer({ url, born, target_id: id }: Target): boolean {
     return [...this.#known.values()].some(
       ({ target: other, ...known }) =>
         known.state === "here" &&
@@ -173,18 +176,18 @@
 
   #replaceOthersAt(target: Target): void {
     for (const other of this.#known.values()) {
-      const sameAddress = other.target?.url === target.url;
-      if (sameAddress && other.target?.target_id !== target.target_id && other.state === "here") {
+      const isSameAddress = other.target?.url === target.url;
+      if (isSameAddress && other.target?.target_id !== target.target_id && other.state === "here") {
         other.state = "replaced";
-        other.comebacks = 0;
+        other.confirmations = 0;
       }
     }
   }
 
-  #remember(id: string, known: Known): void {
+  #store(id: string, known: TargetEntry): void {
     this.#known.set(id, known);
     for (const [old, { state }] of this.#known) {
-      if (this.#known.size <= REMEMBERED) {
+      if (this.#known.size <= MAX_ENTRIES) {
         return;
       }
       if (state !== "here") {
@@ -194,7 +197,12 @@
   }
 }
 
-/** Whether only a goodbye is known, of whatever life; an announcement may be of the same one, held up. */
-function isUnnamedGoodbye(known: Known): boolean {
-  return known.state === "left" && known.born === 0 && ++known.comebacks < RESTART_BELIEVED;
+/**
+ * Counts an announcement after a withdrawal without a start time; true while it may be a delayed one of the
+ * incarnation that left.
+ */
+function isUnconfirmedRestart(known: TargetEntry): boolean {
+  return (
+    known.state === "left" && known.born === 0 && ++known.confirmations < RESTART_CONFIRMATIONS
+  );
 }
