--- a/src/membership/TargetIndex.test.ts
+++ b/src/membership/TargetIndex.test.ts
@@ -16,9 +16,9 @@
 }
 
 const cases: readonly { name: string; steps: readonly Step[]; books: string[]; all: number }[] = [
-  { name: "nothing is known", steps: [], books: [], all: 0 },
+  { name: "index is empty without members", steps: [], books: [], all: 0 },
   {
-    name: "targets of a service stand together, whoever they stand beside",
+    name: "targets of a service are listed together across members",
     steps: [
       { member: "p", targets: [target("a"), target("d", DESK)] },
       { member: "q", targets: [target("b")] },
@@ -27,7 +27,7 @@
     all: 3,
   },
   {
-    name: "what a member tells later takes the place of what it told before",
+    name: "update of a member replaces its earlier targets",
     steps: [
       { member: "p", targets: [target("a"), target("b")] },
       { member: "p", targets: [target("b"), target("c", DESK)] },
@@ -36,7 +36,7 @@
     all: 2,
   },
   {
-    name: "a member without targets has none",
+    name: "update without targets removes those of the member",
     steps: [
       { member: "p", targets: [target("a")] },
       { member: "p", targets: [] },
@@ -57,7 +57,7 @@
   });
 }
 
-test("a target that another member has announced since stays when the first one forgets it", (t) => {
+test("target that has moved to another member stays when the first member drops it", (t) => {
   const index = new TargetIndex();
   index.set("p", [target("a")]);
   index.set("q", [target("a")]);
@@ -66,7 +66,7 @@
   t.deepEqual(ids(index), ["a"]);
 });
 
-test("the list of a service is drawn up anew only when one of its targets changes", (t) => {
+test("list of a service is rebuilt only when one of its targets changes", (t) => {
   const index = new TargetIndex();
   index.set("p", [target("a")]);
   const before = index.of(BOOKS);
--- a/src/membership/TargetIndex.ts
+++ b/src/membership/TargetIndex.ts
@@ -5,20 +5,21 @@
 /** The targets of one service. */
 interface ServiceTargets {
   readonly byMember: Map<string, readonly TargetInfo[]>;
-  /** All of them; drawn up afresh after a change. */
+  /** All of them; rebuilt on first use after a change. */
   list: readonly TargetInfo[] | undefined;
 }
 
 /**
- * Every target that is known, by the member beside which it stands, by service and by id. A change of one member
- * touches the services of its own targets only, so that news of one of hundreds costs the next request nothing.
+ * Every known target, indexed by the member (sidecar) on its VM, by service and by id. A change of one member
+ * invalidates only the services of its own targets, so that requests for other services cost no more after an
+ * update of one of hundreds of members.
  */
 export class TargetIndex {
   readonly #byMember = new Map<string, readonly TargetInfo[]>();
   readonly #byService = new Map<ServiceName, ServiceTargets>();
   readonly #byId = new Map<TargetId, TargetInfo>();
 
-  /** Puts `targets` in the place of those that stood beside `member`. */
+  /** Replaces the targets of `member`. */
   set(member: string, targets: readonly TargetInfo[]): void {
     const before = this.#byMember.get(member) ?? [];
     this.#remove(member, before);
@@ -28,7 +29,7 @@
     }
     this.#byMember.set(member, targets);
     for (const service of new Set(targets.map((t) => t.service))) {
-      const entry = this.#service(service);
+      const entry = this.#serviceEntry(service);
       entry.list = undefined;
       entry.byMember.set(
         member,
@@ -40,7 +41,7 @@
     }
   }
 
-  /** Targets of a service; the same array until one of them changes. */
+  /** All targets of a service; the same array until one of them changes. */
   of(service: ServiceName): readonly TargetInfo[] {
     const entry = this.#byService.get(service);
     if (!entry) {
@@ -50,19 +51,19 @@
     return entry.list;
   }
 
-  /** Every target. */
+  /** All targets. */
   all(): readonly TargetInfo[] {
     return [...this.#byMember.values()].flat();
   }
 
-  /** One target. */
+  /** The target with this id. */
   get(id: TargetId): TargetInfo | undefined {
     return this.#byId.get(id);
   }
 
   #remove(member: string, targets: readonly TargetInfo[]): void {
     for (const target of targets) {
-      // Another member may have announced it since: its address has moved.
+      // Another member may have announced it since, if the target has moved there.
       if (this.#byId.get(target.id) === target) {
         this.#byId.delete(target.id);
       }
@@ -74,7 +75,7 @@
     }
   }
 
-  #service(name: ServiceName): ServiceTargets {
+  #serviceEntry(name: ServiceName): ServiceTargets {
     let entry = this.#byService.get(name);
     if (!entry) {
       entry = { byMember: new Map(), list: undefined };
