--- a/src/membership/LocalTargets.ts
+++ b/src/membership/LocalTargets.ts
@@ -19,17 +19,17 @@
   /** `replaced`: another target uses its address now. `left`: it was withdrawn. */
   state: "here" | "replaced" | "left";
   /** Announcements received since it was replaced or withdrawn. */
-  confirmations: number;
+  repeats: number;
 }
 
 /** A replaced target is live again after this many new announcements, since a single one may have been delayed. */
-const RETURN_CONFIRMATIONS = 2;
+const RETURN_AFTER_REPEATS = 2;
 
 /**
  * A target that was withdrawn without its start time is considered restarted after this many announcements,
  * since two may have been in flight when it left.
  */
-const RESTART_CONFIRMATIONS = 3;
+const RESTART_AFTER_REPEATS = 3;
 
 /**
  * The targets on this sidecar's VM, from their announcements. An announcement may arrive
@@ -76,7 +76,7 @@
       announcedAt: this.#now(),
       sequence,
       state: "here",
-      confirmations: 0,
+      repeats: 0,
     });
     return true;
   }
@@ -99,7 +99,7 @@
       announcedAt: this.#now(),
       sequence: Infinity,
       state: "left",
-      confirmations: 0,
+      repeats: 0,
     });
   }
 
@@ -143,7 +143,7 @@
 
   /** Whether to accept an announcement; if another target uses its address, it must be repeated first. */
   #isConfirmed(target: Target, sequence: number, known: TargetEntry | undefined): boolean {
-    if (known?.state === "replaced" && ++known.confirmations < RETURN_CONFIRMATIONS) {
+    if (known?.state === "replaced" && ++known.repeats < RETURN_AFTER_REPEATS) {
       known.sequence = sequence;
       return false;
     }
@@ -154,7 +154,7 @@
         announcedAt: this.#now(),
         sequence,
         state: "replaced",
-        confirmations: 0,
+        repeats: 0,
       });
       return false;
     }
@@ -179,7 +179,7 @@
       const isSameAddress = other.target?.url === target.url;
       if (isSameAddress && other.target?.target_id !== target.target_id && other.state === "here") {
         other.state = "replaced";
-        other.confirmations = 0;
+        other.repeats = 0;
       }
     }
   }
@@ -202,7 +202,5 @@
  * incarnation that left.
  */
 function isUnconfirmedRestart(known: TargetEntry): boolean {
-  return (
-    known.state === "left" && known.born === 0 && ++known.confirmations < RESTART_CONFIRMATIONS
-  );
+  return known.state === "left" && known.born === 0 && ++known.repeats < RESTART_AFTER_REPEATS;
 }
