--- a/src/membership/Membership.test.ts
+++ b/src/membership/Membership.test.ts
@@ -6,101 +6,101 @@
 const all = (count: number) => Array.from({ length: count }, () => count);
 
 for (const count of [2, 8, 40, 120]) {
-  test(`${count} sidecars that know two seeds find each other, and a drain is seen by all within 2 s`, async (t) => {
-    const s = new MemberFleet(count);
-    s.states.set("s1", "ready");
-    await s.run(4000);
-    t.deepEqual(s.views(), all(count));
-    t.deepEqual([...s.statesSeen("s1")], ["ready"]);
-    s.states.set("s1", "draining");
-    await s.run(2000);
-    t.deepEqual([...s.statesSeen("s1")], ["draining"]);
+  test(`${count} sidecars that join through two seeds all see each other, and all see a drain within 2 s`, async (t) => {
+    const fleet = new MemberFleet(count);
+    fleet.states.set("s1", "ready");
+    await fleet.run(4000);
+    t.deepEqual(fleet.views(), all(count));
+    t.deepEqual([...fleet.statesSeen("s1")], ["ready"]);
+    fleet.states.set("s1", "draining");
+    await fleet.run(2000);
+    t.deepEqual([...fleet.statesSeen("s1")], ["draining"]);
   });
 }
 
-test("a quiet fleet costs each sidecar the same whatever its size", async (t) => {
-  // Story: with whole views in every message, each sidecar of 40 sent 570 KB/s,
-  // and one of 6,700 would have sent 95 MB/s.
+test("messages per sidecar do not grow with the fleet while there are no updates", async (t) => {
+  // Guards against whole views in every message: each sidecar of 40 sent 570 KB/s, and in a fleet of 6,700 it
+  // would have sent 95 MB/s.
   const costs: number[] = [];
   for (const count of [10, 40, 160]) {
-    const s = new MemberFleet(count);
-    await s.run(20_000);
-    s.messages = 0;
-    s.newsSent = 0;
-    await s.run(10_000);
-    costs.push(s.messages / count);
-    t.is(s.newsSent, 0, `${count} sidecars send no news`);
+    const fleet = new MemberFleet(count);
+    await fleet.run(20_000);
+    fleet.messages = 0;
+    fleet.newsSent = 0;
+    await fleet.run(10_000);
+    costs.push(fleet.messages / count);
+    t.is(fleet.newsSent, 0, `${count} sidecars send no membership updates`);
   }
   t.deepEqual(costs, [100, 100, 100]);
 });
 
-// Story: hundreds of sidecars are restarted, and each passed every change on some twenty-four times,
-// whether or not anyone still lacked it. On their links of a few Mbit/s there was no room left for requests.
-// The budget is 4 KB/s for what is not requests, at 2.6 changes a second and 100 bytes an entry, sent
-// and received; and of the bytes between zones at most half of what an even choice of peers sends.
+// Guards against redundant gossip: while hundreds of sidecars were restarted, each sent every change some
+// twenty-four times, whether or not any member still lacked it. On links of a few Mbit/s, this left no bandwidth
+// for requests. The budget for traffic other than requests is 4 KB/s, sent and received, at 2.6 changes a second
+// and 100 bytes an entry. Traffic between zones may be at most half of what a uniform choice of peers would send.
 const COPIES_PER_CHANGE = 4096 / (2 * 2.6 * 100);
 
 for (const { count, zones } of [
   { count: 40, zones: 4 },
   { count: 240, zones: 6 },
 ]) {
-  test(`${count} sidecars pass a change on a bounded number of times, mostly within their zones`, async (t) => {
-    const s = new MemberFleet(count, 1, zones);
-    s.states.set("s1", "ready");
-    await s.run(30_000);
-    t.deepEqual(s.views(), all(count));
-    s.newsSent = 0;
-    s.newsSentFar = 0;
+  test(`${count} sidecars send a change a bounded number of times, mostly within their zones`, async (t) => {
+    const fleet = new MemberFleet(count, 1, zones);
+    fleet.states.set("s1", "ready");
+    await fleet.run(30_000);
+    t.deepEqual(fleet.views(), all(count));
+    fleet.newsSent = 0;
+    fleet.newsSentFar = 0;
     const changes = 10;
     for (let n = 0; n < changes; n++) {
       const state = n % 2 === 0 ? "draining" : "ready";
-      s.states.set("s1", state);
-      await s.run(2000);
-      t.deepEqual([...s.statesSeen("s1")], [state]);
+      fleet.states.set("s1", state);
+      await fleet.run(2000);
+      t.deepEqual([...fleet.statesSeen("s1")], [state]);
     }
-    const copies = s.newsSent / count / changes;
-    const farShare = s.newsSentFar / s.newsSent;
+    const copies = fleet.newsSent / count / changes;
+    const farShare = fleet.newsSentFar / fleet.newsSent;
     t.log(
-      `${copies.toFixed(1)} copies a change and sidecar, ${farShare.toFixed(2)} of them to other zones`,
+      `${copies.toFixed(1)} copies per change and sidecar, ${farShare.toFixed(2)} of them to other zones`,
     );
     t.true(copies <= COPIES_PER_CHANGE);
     t.true(farShare <= (0.5 * (zones - 1)) / zones);
   });
 }
 
-test("240 sidecars that start together know each other within 4 s, at a few copies of each entry", async (t) => {
-  const s = new MemberFleet(240, 1, 6);
-  await s.run(4000);
-  t.deepEqual(s.views(), all(240));
-  const copies = s.newsSent / 240 / 240;
+test("240 sidecars that start together all see each other within 4 s, with few copies of each entry", async (t) => {
+  const fleet = new MemberFleet(240, 1, 6);
+  await fleet.run(4000);
+  t.deepEqual(fleet.views(), all(240));
+  const copies = fleet.newsSent / 240 / 240;
   t.log(`${copies.toFixed(1)} copies of each entry to each sidecar`);
   t.true(copies <= COPIES_PER_CHANGE);
 });
 
-test("a sidecar that missed a change is brought up to date by the entries that differ, not by whole views", async (t) => {
-  // Story: the messages that tell a sidecar of a change are all lost; once the news has died down nobody
-  // passes it on any more. Whole views of hundreds of members were exchanged for one entry.
-  const s = new MemberFleet(240, 1, 6);
-  s.states.set("s1", "ready");
-  await s.run(10_000);
-  s.deafen("s200");
-  s.states.set("s1", "draining");
-  await s.run(5000);
-  s.undeafen("s200");
-  s.newsSent = 0;
-  await s.run(3000);
-  t.deepEqual([...s.statesSeen("s1")], ["draining"]);
-  t.true(s.newsSent < 240, `${s.newsSent} entries sent`);
+test("sidecar that missed an update is sent the entries that differ rather than whole views", async (t) => {
+  // All messages that carry an update to one sidecar are lost, and afterwards no member sends that rumor any more.
+  // Guards against exchanging whole views of hundreds of members for a single entry.
+  const fleet = new MemberFleet(240, 1, 6);
+  fleet.states.set("s1", "ready");
+  await fleet.run(10_000);
+  fleet.deafen("s200");
+  fleet.states.set("s1", "draining");
+  await fleet.run(5000);
+  fleet.undeafen("s200");
+  fleet.newsSent = 0;
+  await fleet.run(3000);
+  t.deepEqual([...fleet.statesSeen("s1")], ["draining"]);
+  t.true(fleet.newsSent < 240, `${fleet.newsSent} entries sent`);
 });
 
-test("a dead sidecar is dropped with its targets within 3 s, by all", async (t) => {
-  const s = new MemberFleet(12);
-  s.states.set("s5", "ready");
-  await s.run(4000);
-  s.up.delete("s5");
-  await s.run(3000);
-  t.deepEqual([...new Set(s.views())], [11]);
-  t.deepEqual([...s.statesSeen("s5")], ["gone"]);
+test("dead sidecar is dropped with its targets by all members within 3 s", async (t) => {
+  const fleet = new MemberFleet(12);
+  fleet.states.set("s5", "ready");
+  await fleet.run(4000);
+  fleet.up.delete("s5");
+  await fleet.run(3000);
+  t.deepEqual([...new Set(fleet.views())], [11]);
+  t.deepEqual([...fleet.statesSeen("s5")], ["gone"]);
 });
 
 const oneWay: readonly [string, string][] = [
@@ -109,117 +109,117 @@
 ];
 
 for (const [from, to] of oneWay) {
-  test(`a one-way partition from ${from} to ${to} takes nobody for dead`, async (t) => {
-    // Story: a switch drops packets from one VM to another, one way. Each still
-    // hears and is heard by all others; neither may lose its targets for it.
-    const s = new MemberFleet(8);
-    await s.run(4000);
-    s.cut(from, to);
+  test(`one-way partition from ${from} to ${to} makes no member seem dead`, async (t) => {
+    // A switch drops packets from one VM to another, in one direction only. Both VMs still
+    // exchange messages with all others, so neither may be declared dead.
+    const fleet = new MemberFleet(8);
+    await fleet.run(4000);
+    fleet.cut(from, to);
     for (let i = 0; i < 50; i++) {
-      await s.run(ROUND_MS);
-      t.deepEqual(s.views(), all(8));
+      await fleet.run(ROUND_MS);
+      t.deepEqual(fleet.views(), all(8));
     }
   });
 }
 
-test("after a cut in two is healed, the halves find each other again", async (t) => {
-  // Story: two regions lose each other for minutes. Each takes the other for
-  // dead; afterwards nothing tells them to look for each other but themselves.
-  const s = new MemberFleet(10);
-  await s.run(4000);
-  const ids = [...s.up.keys()];
-  s.cutBetween(ids.slice(0, 5), ids.slice(5));
-  await s.run(180_000);
-  t.deepEqual([...new Set(s.views())], [5]);
-  s.heal();
-  await s.run(15_000);
-  t.deepEqual(s.views(), all(10));
+test("halves of a partitioned fleet merge again once the partition is healed", async (t) => {
+  // Two regions are partitioned for minutes, and each declares the other's members dead. Nothing outside
+  // the membership protocol reconnects them afterwards.
+  const fleet = new MemberFleet(10);
+  await fleet.run(4000);
+  const ids = [...fleet.up.keys()];
+  fleet.cutBetween(ids.slice(0, 5), ids.slice(5));
+  await fleet.run(180_000);
+  t.deepEqual([...new Set(fleet.views())], [5]);
+  fleet.heal();
+  await fleet.run(15_000);
+  t.deepEqual(fleet.views(), all(10));
 });
 
-test("two fleets that know nothing of each other become one once a seed of one names the other", async (t) => {
-  // Story: half of the fleet was started with one list of seeds, and half with another. Then one sidecar is told of a seed
-  // on the other side: it comes to know the others there, and they have to come to know its own side, too.
-  const s = new MemberFleet(12);
+test("two separate fleets merge once one sidecar has a seed in the other", async (t) => {
+  // The halves of a fleet were started with different seeds. Then one sidecar gets a seed in the other half.
+  // It learns of the members there, and they must learn of the members in its own half too.
+  const fleet = new MemberFleet(12);
   const isLeft = (id: string) => Number(id.slice(1)) < 6;
-  s.seedsOf = (id) => (isLeft(id) ? ["s0"] : ["s6"]);
-  await s.run(4000);
-  t.deepEqual([...new Set(s.views())], [6]);
-  s.seedsOf = (id) => (id === "s3" ? ["s6"] : isLeft(id) ? ["s0"] : ["s6"]);
-  await s.run(15_000);
-  t.deepEqual(s.views(), all(12));
+  fleet.seedsOf = (id) => (isLeft(id) ? ["s0"] : ["s6"]);
+  await fleet.run(4000);
+  t.deepEqual([...new Set(fleet.views())], [6]);
+  fleet.seedsOf = (id) => (id === "s3" ? ["s6"] : isLeft(id) ? ["s0"] : ["s6"]);
+  await fleet.run(15_000);
+  t.deepEqual(fleet.views(), all(12));
 });
 
-test("a restarted sidecar replaces its old self, also when it starts before it was missed", async (t) => {
-  const s = new MemberFleet(8);
-  s.states.set("s4", "ready");
-  await s.run(4000);
-  s.up.delete("s4");
-  s.states.delete("s4");
-  s.start("s4");
-  await s.run(3000);
-  t.deepEqual(s.views(), all(8));
-  t.deepEqual([...s.statesSeen("s4")], ["gone"]);
+test("restarted sidecar replaces its previous incarnation, also if that was not found dead yet", async (t) => {
+  const fleet = new MemberFleet(8);
+  fleet.states.set("s4", "ready");
+  await fleet.run(4000);
+  fleet.up.delete("s4");
+  fleet.states.delete("s4");
+  fleet.start("s4");
+  await fleet.run(3000);
+  t.deepEqual(fleet.views(), all(8));
+  t.deepEqual([...fleet.statesSeen("s4")], ["gone"]);
 });
 
-test("a newer document reaches a sidecar from its peers", async (t) => {
-  const s = new MemberFleet(8);
-  await s.run(2000);
-  const first = s.up.get("s6");
-  if (first) {
-    first.config.version = 7;
+test("newer document reaches all sidecars through their peers", async (t) => {
+  const fleet = new MemberFleet(8);
+  await fleet.run(2000);
+  const node = fleet.up.get("s6");
+  if (node) {
+    node.config.version = 7;
   }
-  await s.run(3000);
-  t.deepEqual([...new Set([...s.up.values()].map((n) => n.config.version))], [7]);
+  await fleet.run(3000);
+  t.deepEqual([...new Set([...fleet.up.values()].map((n) => n.config.version))], [7]);
 });
 
-test("a newer document is taken from another member where the first that tells of it does not answer", async (t) => {
-  // Story: half of the control replicas are cut off, and the sidecars that follow only these hear of a change from others. Some
-  // of those stand behind links so full that nothing more comes from them.
-  const s = new MemberFleet(24, 1, 3);
-  await s.run(4000);
-  const ids = [...s.up.keys()];
+test("newer document is fetched from another member if the first that reports it does not respond", async (t) => {
+  // Half of the control replicas are cut off, and the sidecars that follow only these learn of a change from other
+  // members. The links of some of those are so congested that they never respond to a fetch.
+  const fleet = new MemberFleet(24, 1, 3);
+  await fleet.run(4000);
+  const ids = [...fleet.up.keys()];
   ids.slice(0, 16).forEach((id) => {
-    const node = s.up.get(id);
+    const node = fleet.up.get(id);
     if (node) {
       node.config.version = 7;
     }
   });
-  ids.slice(0, 10).forEach((id) => s.withoutConfig.add(id));
-  await s.run(1600);
-  t.deepEqual([...new Set([...s.up.values()].map((n) => n.config.version))], [7]);
+  ids.slice(0, 10).forEach((id) => fleet.withoutConfig.add(id));
+  await fleet.run(1600);
+  t.deepEqual([...new Set([...fleet.up.values()].map((n) => n.config.version))], [7]);
 });
 
-test("a document that control brings in a moment is not fetched from other members", async (t) => {
-  // Story: operators change the document again and again. Control brings each change to all within a fifth
-  // of a second, but most sidecars had heard by then from another that it has it, and opened a connection to it.
-  const s = new MemberFleet(40, 1, 4);
-  await s.run(4000);
+test("document that control is about to deliver is not fetched from other members", async (t) => {
+  // Operators change the document repeatedly, and control delivers each change to all sidecars within 200 ms.
+  // Guards against sidecars that learn of the change by gossip before that, and open a connection to fetch it.
+  const fleet = new MemberFleet(40, 1, 4);
+  await fleet.run(4000);
   for (let version = 1; version <= 5; version++) {
-    const [early, late] = [[...s.up.values()].slice(0, 20), [...s.up.values()].slice(20)];
+    const [early, late] = [[...fleet.up.values()].slice(0, 20), [...fleet.up.values()].slice(20)];
     early.forEach((n) => (n.config.version = version));
-    await s.run(ROUND_MS);
+    await fleet.run(ROUND_MS);
     late.forEach((n) => (n.config.version = version));
-    await s.run(1000);
+    await fleet.run(1000);
   }
-  t.is(s.configsFetched, 0);
+  t.is(fleet.configsFetched, 0);
 });
 
-test("when many do not answer in time, probes do not feed on each other", async (t) => {
-  // Story: 40 sidecars start together on a busy machine, and for a while hardly
-  // anyone answers in time. Each failed probe asked others to probe, and every
-  // suspect was probed each round: 40 sidecars made each other too busy to answer.
-  const s = new MemberFleet(40);
-  await s.run(6000);
-  const ids = [...s.up.keys()];
-  s.cutBetween(ids.slice(0, 5), ids.slice(5));
-  s.cutBetween(ids.slice(5, 10), ids.slice(10));
-  await s.run(ROUND_MS);
+test("failed probes do not multiply when many members do not reply in time", async (t) => {
+  // 40 sidecars start together on a busy machine, and at first hardly any reply in time.
+  // Guards against unbounded probes: each failed probe made others probe too, and all suspects were
+  // probed every round, which kept all 40 sidecars too busy to reply.
+  const fleet = new MemberFleet(40);
+  await fleet.run(6000);
+  const ids = [...fleet.up.keys()];
+  fleet.cutBetween(ids.slice(0, 5), ids.slice(5));
+  fleet.cutBetween(ids.slice(5, 10), ids.slice(10));
+  await fleet.run(ROUND_MS);
   let most = 0;
   for (let i = 0; i < 20; i++) {
-    s.messages = 0;
-    await s.run(ROUND_MS);
-    most = Math.max(most, s.messages / 40);
+    fleet.messages = 0;
+    await fleet.run(ROUND_MS);
+    most = Math.max(most, fleet.messages / 40);
   }
-  t.log(`${most} calls a sidecar and round at the most`);
+  t.log(`at most ${most} calls per sidecar and round`);
   t.true(most <= 24);
 });
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -10,93 +10,99 @@
 import type { VersionWatch } from "./VersionWatch.ts";
 
 type Member = ProtoTypes["Member"];
-type News = ProtoTypes["News"];
+type GossipMessage = ProtoTypes["News"];
 
-/** Members probed each round. */
+/** Number of members probed each round. */
 const FANOUT = 2;
 
 /**
- * Share of the rounds in which one of the members probed is of another zone. Bytes between zones are
- * slower and cost more; news crosses often enough, since it does not end before it is known to have crossed.
+ * Share of the rounds in which one of the probed members is from another zone. Traffic between zones is slower and
+ * costs more. Updates still reach other zones soon enough, since a rumor is kept until it is known to have crossed.
  */
-const FAR_SHARE = 0.5;
+const FAR_ROUND_SHARE = 0.5;
 
-/** Suspects probed again each round, besides. */
+/** Number of suspects probed again each round, in addition to {@link FANOUT}. */
 const SUSPECTS_PER_ROUND = 2;
 
 /**
- * Probes under way at once, at most. When many members are slow at the same time
- * (a fleet starting on a busy machine) every failed probe calls for more; without
- * a bound they feed on each other until nobody answers, and the fleet never settles.
+ * Maximum number of concurrent probes. When many members are slow at the same time, such as while a fleet starts
+ * on a busy machine, every failed probe causes further probes. Without a bound, this load makes yet more probes
+ * fail until no member replies, and the fleet never converges.
  */
-const MAX_PROBES = 6;
+const MAX_CONCURRENT_PROBES = 6;
 
-/** A probe that failed only after this long failed here: this process stood still past its deadline, ms. */
+/** A probe that fails only after this long, ms, does not count: this process itself was paused beyond the probe's timeout. */
 const STALLED_MS = 2000;
 
-/** Members asked to probe one that does not answer us. */
+/** Number of members asked to probe a member that does not reply to this one. */
 const INDIRECT_PROBES = 3;
 
-/** A member that nobody asked could reach is dead after this long, ms: a pause for garbage collection is not death. */
-const SUSPECT_MS = 1000;
+/** Time after which a member that no probe could reach is declared dead, ms; long enough for a garbage collection pause. */
+const SUSPICION_TIMEOUT_MS = 1000;
 
-/** Entries of news per message: some 100 bytes each, one packet of the network or a little more. */
-const NEWS_PER_MESSAGE = 16;
+/** Maximum number of rumors per gossip message: at some 100 bytes each, one network packet or a little more. */
+const RUMORS_PER_MESSAGE = 16;
 
-/** Checksums that differ this often in a row are no news in flight but a gap. */
-const GAP_AFTER = 3;
+/** Consecutive checksum mismatches after which updates in flight no longer explain the difference between views. */
+const MISMATCHES_BEFORE_COMPARE = 3;
 
-/** Views that differ are compared at most this often, ms; sooner where more differed than one message holds. */
-const COMPARE_GAP_MS = 1000;
+/** Minimum time between comparisons of views, ms; ignored after a comparison whose reply reached the entry limit. */
+const MIN_COMPARE_INTERVAL_MS = 1000;
 
-/** Members whose entries share a digest when views are compared, on average: so many are sent for each one that differs. */
+/** Average number of members per digest when views are compared; for each entry that differs, this many are sent. */
 const MEMBERS_PER_DIGEST = 4;
 
-/** Digests in a comparison, at most: two packets of the network. */
+/** Maximum number of digests in a comparison: two network packets. */
 const MAX_DIGESTS = 512;
 
-/** Entries that answer a comparison, at most: some 3 KB. */
-const MAX_COMPARED = 32;
+/** Maximum number of entries in the reply to a comparison: some 3 KB. */
+const MAX_COMPARE_ENTRIES = 32;
 
-/** One round in this many also tries a member found dead or a seed, to find the other side of a healed partition. */
-const RETRY_GONE_EVERY = 5;
+/** Once in this many rounds, a dead member or an unknown seed is contacted too, to find the other side of a healed partition. */
+const RECONNECT_EVERY_ROUNDS = 5;
 
-/** Rounds called for by news keep at least this distance, ms: each triples those who know, so hundreds hear of it within a second. */
-const NEWS_ROUND_GAP_MS = 100;
+/**
+ * Minimum time from a round to one that is started early for a new rumor, ms. Each round triples the number of
+ * members that know the rumor, so hundreds of members receive it within a second.
+ */
+const MIN_ROUND_INTERVAL_MS = 100;
 
 interface MembershipDeps {
   readonly table: TargetTable;
   readonly peers: MembershipPeers;
-  /** Members to join through at the moment, host:port. */
+  /** Current addresses of members to join through, host:port. */
   readonly seeds: () => readonly string[];
   readonly documents: VersionWatch;
   readonly clock: Clock;
-  /** In [0, 1); tests pass a seeded one. */
+  /** Returns a number in [0, 1); seeded in tests. */
   readonly random: () => number;
-  /** Told of every change in what is believed of other members, of those together that came together. */
+  /** Called with the changed entries of other members; entries that arrived together are passed together. */
   readonly onNews?: (members: readonly Member[]) => void;
 }
 
 /**
- * Membership in the manner of SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+ * Group membership by the SWIM protocol (Das, Gupta, Motivala, "SWIM: Scalable
  * Weakly-consistent Infection-style Process Group Membership Protocol", 2002):
  * each round probes a few random members, asks others to probe those that do not
- * answer (so one cut path is not taken for a death), and carries changes along.
- * A quiet fleet costs each sidecar the same whatever its size.
+ * reply (so that one broken network path does not pass for a dead member), and piggybacks
+ * membership updates. Without updates, the cost per sidecar does not grow with the fleet.
  */
 export class Membership extends Disposable {
   readonly #deps: MembershipDeps;
   readonly #rumors = new RumorQueue();
+  /** Times at which members became suspect, by id. */
   readonly #suspects = new Map<string, number>();
+  /** Ids of the members whose probes are in flight. */
   readonly #probing = new Set<string>();
   #rounds = 0;
-  #gaps = 0;
+  #mismatches = 0;
+  /** Time of the last comparison of views; -Infinity if the next one need not wait. */
   #comparedAt = -Infinity;
   #lastRoundAt = -Infinity;
   #started = false;
-  #hastened = false;
-  #newsTimer: Timer | undefined;
-  #divided: { live: readonly Member[] } & Record<Distance, readonly Member[]> = {
+  #earlyRoundScheduled = false;
+  #earlyRoundTimer: Timer | undefined;
+  #zoneSplit: { live: readonly Member[] } & Record<Distance, readonly Member[]> = {
     live: [],
     near: [],
     far: [],
@@ -107,89 +113,93 @@
     this.#deps = deps;
     this.register({
       dispose: () => {
-        this.#newsTimer?.cancel();
+        this.#earlyRoundTimer?.cancel();
       },
     });
-    this.#pass([deps.table.own]);
+    this.#spread([deps.table.own]);
   }
 
-  /** Starts a round every `intervalMs`, and sooner when there is news, until disposed. */
+  /** Starts a round every `intervalMs`, and earlier when there are new rumors, until disposed. */
   start(intervalMs: number): void {
     this.#started = true;
     this.register(every(intervalMs, () => void this.round()));
   }
 
-  /** Passes on at once what has changed beside this sidecar: a drain cannot wait for the next round. */
+  /** Spreads a change of the local targets at once, since a drain cannot wait for the next round. */
   noteLocalChange(): void {
     if (this.#deps.table.refreshOwn()) {
-      this.#pass([this.#deps.table.own]);
+      this.#spread([this.#deps.table.own]);
     }
   }
 
-  /** Tells the others that this member is being stopped. */
+  /** Spreads that this member is being stopped. */
   beginStop(): void {
     this.#deps.table.beginStop();
-    this.#pass([this.#deps.table.own]);
+    this.#spread([this.#deps.table.own]);
   }
 
-  /** Tells the others that this member is gone, before it ends. */
+  /** Spreads that this member is gone, before its process exits. */
   async leave(): Promise<void> {
     this.#deps.table.leave();
-    this.#pass([this.#deps.table.own]);
+    this.#spread([this.#deps.table.own]);
     await this.round();
   }
 
-  /** One round: probes a few members and passes news on; resolves when all have answered or not. */
+  /** One round: probes a few members and spreads rumors; resolves when all have replied or timed out. */
   async round(): Promise<void> {
     this.#lastRoundAt = this.#deps.clock.now();
     this.#rounds += 1;
     if (this.#deps.table.refreshOwn()) {
-      this.#pass([this.#deps.table.own]);
+      this.#spread([this.#deps.table.own]);
     }
     await Promise.all([
-      ...this.#probeList().map((m) => this.#probeMember(m)),
-      ...this.#seedList().map((address) => this.#tryJoin(address)),
-      ...this.#lostList().map((address) => this.#tryLost(address)),
+      ...this.#membersToProbe().map((m) => this.#probeMember(m)),
+      ...this.#seedsToJoin().map((address) => this.#tryJoin(address)),
+      ...this.#addressesToReconnect().map((address) => this.#tryReconnect(address)),
     ]);
   }
 
-  /** Answers another sidecar's probe. */
-  onExchange(news: News): News {
-    const { fresh, stale } = this.#takeIn(news);
-    const from = this.#deps.table.entry(news.sender);
-    if (from) {
-      this.#deps.documents.noteVersion(from.peer_address, news.config_version);
+  /** Handles a probe by another member; returns the reply. */
+  onExchange(gossip: GossipMessage): GossipMessage {
+    const { fresh, stale } = this.#applyGossip(gossip);
+    const sender = this.#deps.table.entry(gossip.sender);
+    if (sender) {
+      this.#deps.documents.noteVersion(sender.peer_address, gossip.config_version);
     }
-    const known = news.members.flatMap((m, at) => (fresh.has(m.sidecar_id) ? [] : [at]));
-    const theirs = new Set(news.members.map((m) => m.sidecar_id));
-    return this.#message(this.#hot(stale, theirs), known);
+    const known = gossip.members.flatMap((m, index) => (fresh.has(m.sidecar_id) ? [] : [index]));
+    const theirs = new Set(gossip.members.map((m) => m.sidecar_id));
+    return this.#message(this.#entriesToSend(stale, theirs), known);
   }
 
-  /** Answers digests of another sidecar's view with entries of ours where they differ. */
-  onCompare(digests: readonly number[]): News {
+  /** Returns local entries where this member's view differs from the view with these digests. */
+  onCompare(digests: readonly number[]): GossipMessage {
     const differing = this.#deps.table.differing(digests);
-    return this.#message(sampleOf(differing, MAX_COMPARED, this.#deps.random));
+    return this.#message(sampleOf(differing, MAX_COMPARE_ENTRIES, this.#deps.random));
   }
 
-  /** Answers another sidecar's whole view with ours. */
+  /** Merges another member's whole view; returns the view of this member. */
   onSync(members: readonly Member[]): Member[] {
-    this.#pass(this.#deps.table.merge(members));
+    this.#spread(this.#deps.table.merge(members));
     return this.#deps.table.entries();
   }
 
-  /** Probes a member on behalf of a sidecar that cannot reach it; rejects when it does not answer. */
+  /** Probes the member at `address` on behalf of another member; rejects when it does not reply. */
   async onProbe(address: string): Promise<void> {
     await this.#exchange(address);
   }
 
-  /** Trades news with the member at `address`; what it had already is passed on less. */
-  async #exchange(address: string, corrections: string[] = []): Promise<News> {
-    const sent = this.#message(this.#hot(corrections));
+  /**
+   * Exchanges gossip with the member at `address`; rumors that it had already are sent less often from then on.
+   *
+   * @param corrections ids of entries of which the member has an older version, sent before any rumors
+   */
+  async #exchange(address: string, corrections: string[] = []): Promise<GossipMessage> {
+    const sent = this.#message(this.#entriesToSend(corrections));
     const reply = await this.#deps.peers.exchange(address, sent);
-    this.#takeIn(reply);
-    const from = this.#distanceOf(reply.sender);
-    for (const at of reply.known) {
-      this.#rumors.noteKnown(sent.members[at]?.sidecar_id ?? "", from);
+    this.#applyGossip(reply);
+    const distance = this.#distanceOf(reply.sender);
+    for (const index of reply.known) {
+      this.#rumors.noteKnown(sent.members[index]?.sidecar_id ?? "", distance);
     }
     return reply;
   }
@@ -199,16 +209,16 @@
     const startedAt = this.#deps.clock.now();
     this.#probing.add(id);
     try {
-      const news = await this.#exchange(address);
-      if (news.sender !== id) {
-        // Its address has gone to another member, so it is not there any more.
+      const reply = await this.#exchange(address);
+      if (reply.sender !== id) {
+        // Another member uses its address now, so it has ended.
         this.#declareGone(id);
       }
-      this.#deps.documents.noteVersion(address, news.config_version);
-      await this.#closeGap(address, news.checksum);
+      this.#deps.documents.noteVersion(address, reply.config_version);
+      await this.#compareIfDiverged(address, reply.checksum);
     } catch {
-      if (await this.#reachedByOthers(address)) {
-        this.#clear(id);
+      if (await this.#probeIndirectly(address)) {
+        this.#clearSuspicion(id);
       } else if (this.#deps.clock.now() - startedAt < STALLED_MS) {
         this.#suspect(id);
       }
@@ -217,49 +227,49 @@
     }
   }
 
-  /** Joins through a seed, whose whole view tells of all the others. */
+  /** Joins the fleet through a seed, by exchanging whole views with it. */
   async #tryJoin(address: string): Promise<void> {
     const { table, peers } = this.#deps;
     try {
       const members = await peers.sync(address, table.entries());
-      const isNewcomer = table.memberCount === 1;
+      const isJoining = table.memberCount === 1;
       const fresh = table.merge(members);
-      if (isNewcomer) {
-        // Does not gossip entries learned from a join, which every newcomer would otherwise resend.
-        this.#tell(fresh);
+      if (isJoining) {
+        // Entries learned from a join are not spread as rumors, or every joining member would send all of them again.
+        this.#notifyListener(fresh);
       } else {
-        this.#pass(fresh);
+        this.#spread(fresh);
       }
     } catch {
-      // Not up yet; a later round tries again.
+      // The seed is not up yet; a later round tries again.
     }
   }
 
-  /** Finds a lost part of the fleet again, through a member found dead or a seed that is not known. */
-  async #tryLost(address: string): Promise<void> {
+  /** Tries to reach a separated part of the fleet through a dead member or an unknown seed at `address`. */
+  async #tryReconnect(address: string): Promise<void> {
     try {
-      // It may never have heard of this one, and tells the others there.
+      // The member there may not know this one; it spreads this member's entry in its part of the fleet.
       await this.#exchange(address, [this.#deps.table.selfId]);
       await this.#compare(address);
     } catch {
-      // Still down or cut off; a later round tries another.
+      // It is still down or unreachable; a later round tries another.
     }
   }
 
-  async #reachedByOthers(address: string): Promise<boolean> {
+  async #probeIndirectly(address: string): Promise<boolean> {
     const { table, random } = this.#deps;
     const others = table.liveMembers().filter((m) => m.peer_address !== address);
     const helpers = sampleOf(others, INDIRECT_PROBES, random);
-    const asked = helpers.map((h) => this.#deps.peers.probe(h.peer_address, address));
-    const answers = await Promise.allSettled(asked);
-    return answers.some((a) => a.status === "fulfilled");
+    const probes = helpers.map((h) => this.#deps.peers.probe(h.peer_address, address));
+    const results = await Promise.allSettled(probes);
+    return results.some((r) => r.status === "fulfilled");
   }
 
   #suspect(id: string): void {
     const since = this.#suspects.get(id);
     if (since === undefined) {
       this.#suspects.set(id, this.#deps.clock.now());
-    } else if (this.#deps.clock.now() - since >= SUSPECT_MS) {
+    } else if (this.#deps.clock.now() - since >= SUSPICION_TIMEOUT_MS) {
       this.#declareGone(id);
     }
   }
@@ -267,34 +277,34 @@
   #declareGone(id: string): void {
     this.#suspects.delete(id);
     if (this.#deps.table.declareGone(id)) {
-      this.#announceNews(id);
+      this.#queueRumor(id);
       const member = this.#deps.table.entry(id);
       if (member) {
-        this.#tell([member]);
+        this.#notifyListener([member]);
       }
     }
   }
 
-  #clear(id: string): void {
+  #clearSuspicion(id: string): void {
     this.#suspects.delete(id);
     this.#deps.table.noteAlive(id);
   }
 
-  /** Takes news in; returns whose entries were news here, and whose were older than what is known. */
-  #takeIn({ sender, members }: News): { fresh: Set<string>; stale: string[] } {
+  /** Merges a gossip message; returns the ids of entries that were new here, and of those older than the local ones. */
+  #applyGossip({ sender, members }: GossipMessage): { fresh: Set<string>; stale: string[] } {
     const { table } = this.#deps;
-    this.#clear(sender);
-    const taken = table.merge(members);
-    const fresh = new Set(taken.map((m) => m.sidecar_id));
+    this.#clearSuspicion(sender);
+    const merged = table.merge(members);
+    const fresh = new Set(merged.map((m) => m.sidecar_id));
     const old = members.filter((m) => !fresh.has(m.sidecar_id));
-    const from = this.#distanceOf(sender);
+    const distance = this.#distanceOf(sender);
     for (const { sidecar_id: id } of old.filter((m) => table.isKnown(m))) {
-      this.#rumors.noteKnown(id, from);
+      this.#rumors.noteKnown(id, distance);
     }
-    this.#pass(taken);
+    this.#spread(merged);
     if (table.entry(sender)?.gone) {
-      // It is alive after all: tell it of its death, so that it can contradict that.
-      this.#announceNews(sender);
+      // The sender was declared dead but is alive: the rumor lets it refute that.
+      this.#queueRumor(sender);
     }
     const stale = old.filter((m) => !table.isKnown(m)).map((m) => m.sidecar_id);
     return { fresh, stale };
@@ -305,119 +315,126 @@
     return table.entry(id)?.zone === table.selfZone ? "near" : "far";
   }
 
-  /** Compares views when the checksums go on differing with no news to explain it. */
-  async #closeGap(address: string, checksum: number): Promise<void> {
+  /** Compares views if their checksums differ for longer than updates in flight explain. */
+  async #compareIfDiverged(address: string, checksum: number): Promise<void> {
     const { table, clock } = this.#deps;
-    this.#gaps = checksum === table.checksum ? 0 : this.#gaps + 1;
-    if (this.#gaps >= GAP_AFTER && clock.now() - this.#comparedAt >= COMPARE_GAP_MS) {
+    this.#mismatches = checksum === table.checksum ? 0 : this.#mismatches + 1;
+    if (
+      this.#mismatches >= MISMATCHES_BEFORE_COMPARE &&
+      clock.now() - this.#comparedAt >= MIN_COMPARE_INTERVAL_MS
+    ) {
       await this.#compare(address);
     }
   }
 
-  /** Takes in what differs at a member, and tells it where it is out of date itself. */
+  /** Merges the entries that differ at the member at `address`, and sends it those that are outdated there. */
   async #compare(address: string): Promise<void> {
     const { table, peers, clock } = this.#deps;
-    this.#gaps = 0;
+    this.#mismatches = 0;
     this.#comparedAt = clock.now();
     const count = Math.ceil(table.memberCount / MEMBERS_PER_DIGEST);
     const reply = await peers.compare(address, table.digests(Math.min(count, MAX_DIGESTS)));
-    if (reply.members.length >= MAX_COMPARED) {
+    if (reply.members.length >= MAX_COMPARE_ENTRIES) {
       this.#comparedAt = -Infinity;
     }
-    const { stale } = this.#takeIn(reply);
+    const { stale } = this.#applyGossip(reply);
     if (stale.length > 0) {
       await this.#exchange(address, stale);
     }
   }
 
-  #probeList(): Member[] {
+  #membersToProbe(): Member[] {
     const { table, random } = this.#deps;
-    const { near, far } = this.#byDistance;
-    const fars = Math.min(far.length, Math.max(FANOUT - near.length, random() < FAR_SHARE ? 1 : 0));
+    const { near, far } = this.#liveByDistance;
+    const farCount = Math.min(
+      far.length,
+      Math.max(FANOUT - near.length, random() < FAR_ROUND_SHARE ? 1 : 0),
+    );
     const suspects = table.liveMembers().filter((m) => this.#suspects.has(m.sidecar_id));
     const chosen = [
-      ...sampleOf(near, FANOUT - fars, random),
-      ...sampleOf(far, fars, random),
+      ...sampleOf(near, FANOUT - farCount, random),
+      ...sampleOf(far, farCount, random),
       ...sampleOf(suspects, SUSPECTS_PER_ROUND, random),
     ].filter((m) => !this.#probing.has(m.sidecar_id));
-    return [...new Set(chosen)].slice(0, Math.max(0, MAX_PROBES - this.#probing.size));
+    return [...new Set(chosen)].slice(0, Math.max(0, MAX_CONCURRENT_PROBES - this.#probing.size));
   }
 
-  /** The live members in the own zone and in others; drawn up afresh when they have changed. */
-  get #byDistance(): Record<Distance, readonly Member[]> {
+  /** The live members in the own zone and in others; cached until they change. */
+  get #liveByDistance(): Record<Distance, readonly Member[]> {
     const { table } = this.#deps;
     const live = table.liveMembers();
-    if (this.#divided.live !== live) {
+    if (this.#zoneSplit.live !== live) {
       const near = live.filter((m) => m.zone === table.selfZone);
       const far = live.filter((m) => m.zone !== table.selfZone);
-      this.#divided = { live, near, far };
+      this.#zoneSplit = { live, near, far };
     }
-    return this.#divided;
+    return this.#zoneSplit;
   }
 
-  /** Seeds to join through, while nobody is known. */
-  #seedList(): string[] {
-    return this.#deps.table.memberCount > 1 ? [] : this.#strangers();
+  /** Seeds to join through, while no other member is known. */
+  #seedsToJoin(): string[] {
+    return this.#deps.table.memberCount > 1 ? [] : this.#unknownSeeds();
   }
 
-  /** Now and then, one that may be in a part of the fleet which is lost to this one. */
-  #lostList(): string[] {
+  /** Every few rounds, one address that may lead to a separated part of the fleet. */
+  #addressesToReconnect(): string[] {
     const { table, random } = this.#deps;
-    if (table.memberCount === 1 || this.#rounds % RETRY_GONE_EVERY !== 0) {
+    if (table.memberCount === 1 || this.#rounds % RECONNECT_EVERY_ROUNDS !== 0) {
       return [];
     }
     const gone = table.goneMembers().map((m) => m.peer_address);
-    return sampleOf([...this.#strangers(), ...gone], 1, random);
+    return sampleOf([...this.#unknownSeeds(), ...gone], 1, random);
   }
 
-  #strangers(): string[] {
+  #unknownSeeds(): string[] {
     const { table, seeds } = this.#deps;
     const live = new Set(table.liveMembers().map((m) => m.peer_address));
     return seeds().filter((s) => s !== table.selfAddress && !live.has(s));
   }
 
-  #message(members: Member[], known: number[] = []): News {
+  #message(members: Member[], known: number[] = []): GossipMessage {
     const { table, documents } = this.#deps;
     const { selfId: sender, checksum } = table;
     return { sender, members, checksum, config_version: documents.version, known };
   }
 
-  /** Entries to pass on now: `first`, and news that the receiver is not `known` to have. */
-  #hot(first: readonly string[], known?: ReadonlySet<string>): Member[] {
-    const ids = [...first, ...this.#rumors.take(NEWS_PER_MESSAGE, known)];
+  /** Entries to send now: `first`, and rumors that the receiver is not `known` to have. */
+  #entriesToSend(first: readonly string[], known?: ReadonlySet<string>): Member[] {
+    const ids = [...first, ...this.#rumors.take(RUMORS_PER_MESSAGE, known)];
     return ids.flatMap((id) => this.#deps.table.entry(id) ?? []);
   }
 
-  #pass(members: readonly Member[]): void {
+  /** Queues rumors about `members`, and reports them to the listener. */
+  #spread(members: readonly Member[]): void {
     for (const m of members) {
-      this.#announceNews(m.sidecar_id);
+      this.#queueRumor(m.sidecar_id);
     }
-    this.#tell(members);
+    this.#notifyListener(members);
   }
 
-  #tell(members: readonly Member[]): void {
+  #notifyListener(members: readonly Member[]): void {
     const others = members.filter((m) => m.sidecar_id !== this.#deps.table.selfId);
     if (others.length > 0) {
       this.#deps.onNews?.(others);
     }
   }
 
-  #announceNews(id: string): void {
-    const { near, far } = this.#byDistance;
+  #queueRumor(id: string): void {
+    const { near, far } = this.#liveByDistance;
     this.#rumors.add(id, { near: near.length, far: far.length });
-    this.#hasten();
+    this.#scheduleEarlyRound();
   }
 
-  /** News does not wait for the next round. */
-  #hasten(): void {
-    if (!this.#started || this.#hastened) {
+  /** Starts the next round early, so that new rumors do not wait for it. */
+  #scheduleEarlyRound(): void {
+    if (!this.#started || this.#earlyRoundScheduled) {
       return;
     }
-    this.#hastened = true;
+    this.#earlyRoundScheduled = true;
     const { clock } = this.#deps;
-    const wait = this.#lastRoundAt + NEWS_ROUND_GAP_MS - clock.now();
-    this.#newsTimer = clock.after(Math.max(0, wait), () => {
-      this.#hastened = false;
+    const delay = this.#lastRoundAt + MIN_ROUND_INTERVAL_MS - clock.now();
+    this.#earlyRoundTimer = clock.after(Math.max(0, delay), () => {
+      this.#earlyRoundScheduled = false;
       void this.round();
     });
   }
