--- a/src/membership/TargetTable.test.ts
+++ b/src/membership/TargetTable.test.ts
@@ -7,7 +7,7 @@
 import { TargetState } from "./TargetState.ts";
 import { TargetTable } from "./TargetTable.ts";
 
-const wireTarget = (target_id: string, state: string): ProtoTypes["Target"] => ({
+const protoTarget = (target_id: string, state: string): ProtoTypes["Target"] => ({
   target_id,
   service: "svc",
   url: "http://127.0.0.1:1",
@@ -28,14 +28,14 @@
   zone: "zone-b",
   revision,
   incarnation,
-  targets: [wireTarget(`t-${id}`, state)],
+  targets: [protoTarget(`t-${id}`, state)],
   gone: false,
   hop_address: `127.0.0.2:${id.length}`,
   control: false,
   stopping: false,
 });
 
-const setup = () => {
+const setUp = () => {
   const clock = { now: 1000 };
   const table = new TargetTable(
     {
@@ -54,54 +54,54 @@
   name: string;
   first: ProtoTypes["Member"];
   second: ProtoTypes["Member"];
-  want: TargetState;
+  expected: TargetState;
 }[] = [
   {
-    name: "higher revision wins",
+    name: "entry with a higher revision wins",
     first: member("p", 1, 5),
     second: member("p", 1, 6, "draining"),
-    want: TargetState.Draining,
+    expected: TargetState.Draining,
   },
   {
-    name: "older revision is ignored",
+    name: "entry with an older revision is ignored",
     first: member("p", 1, 6),
     second: member("p", 1, 5, "draining"),
-    want: TargetState.Ready,
+    expected: TargetState.Ready,
   },
   {
-    name: "a restart (higher incarnation) wins over a high revision",
+    name: "entry of a restarted member (higher incarnation) wins over a higher revision",
     first: member("p", 1, 900),
     second: member("p", 2, 1, "draining"),
-    want: TargetState.Draining,
+    expected: TargetState.Draining,
   },
 ];
 
 for (const c of mergeCases) {
   test(`merge: ${c.name}`, (t) => {
-    const { table } = setup();
+    const { table } = setUp();
     table.merge([c.first]);
     table.merge([c.second]);
-    t.is(table.targetsOf(ServiceName("svc"))[0]?.state, c.want);
+    t.is(table.targetsOf(ServiceName("svc"))[0]?.state, c.expected);
   });
 }
 
-test("a member found dead is dropped with its targets, and late news does not bring it back", (t) => {
-  const { table } = setup();
+test("dead member is dropped with its targets, and outdated rumors do not bring it back", (t) => {
+  const { table } = setUp();
   table.merge([member("p", 1, 1)]);
   t.is(table.allTargets().length, 1);
   t.true(table.declareGone("p"));
   t.is(table.allTargets().length, 0);
   t.deepEqual(table.merge([member("p", 1, 1)]), []);
   t.is(table.allTargets().length, 0);
-  // Only the member itself brings itself back, with a higher revision.
+  // Only the member itself can bring its entry back, with a higher revision.
   t.is(table.merge([member("p", 1, 2)]).length, 1);
   t.is(table.allTargets().length, 1);
 });
 
-test("a sidecar refutes word of its own death, and an entry from before its clock was set back", (t) => {
-  // Story: a sidecar restarts after its VM's time of day was set back an hour. Its
-  // incarnation is lower than before; peers would ignore it for that hour.
-  const { table } = setup();
+test("sidecar refutes a rumor of its own death, and an entry from before its clock was set back", (t) => {
+  // A sidecar restarts after its VM's wall clock was set back by an hour. Its incarnation is
+  // lower than before the restart, so without the refutation peers would ignore it for that hour.
+  const { table } = setUp();
   t.is(table.merge([{ ...table.own, gone: true }]).length, 1);
   t.false(table.own.gone);
   t.is(table.own.revision, 1);
@@ -110,9 +110,9 @@
   t.true(table.own.incarnation > before.incarnation);
 });
 
-test("equal views have equal checksums, however they came about", (t) => {
-  const a = setup().table;
-  const b = setup().table;
+test("equal views have equal checksums, in whatever order entries were merged", (t) => {
+  const a = setUp().table;
+  const b = setUp().table;
   a.merge([member("p", 1, 1), member("q", 1, 1)]);
   a.merge([member("p", 1, 2)]);
   t.not(a.checksum, b.checksum);
@@ -123,10 +123,10 @@
   t.is(a.checksum, b.checksum);
 });
 
-test("a dead member stays among the record keepers for 30 s", (t) => {
-  const { clock, table } = setup();
+test("dead member stays in the pool of record holders for 30 s", (t) => {
+  const { clock, table } = setUp();
   table.merge([member("p", 1, 1)]);
-  clock.now += 3_600_000; // quiet for an hour, and alive
+  clock.now += 3_600_000; // an hour without updates, and alive
   t.is(table.recordPool().length, 2);
   table.declareGone("p");
   clock.now += 30_000;
@@ -135,9 +135,9 @@
   t.is(table.recordPool().length, 1);
 });
 
-test("a local target that stops announcing is dropped", (t) => {
-  const { clock, table } = setup();
-  table.announce(wireTarget("mine", "ready"));
+test("local target that stops announcing itself is dropped", (t) => {
+  const { clock, table } = setUp();
+  table.announce(protoTarget("mine", "ready"));
   t.true(table.refreshOwn());
   t.is(table.own.targets.length, 1);
   t.false(table.refreshOwn(), "nothing changed");
@@ -147,26 +147,26 @@
 });
 
 for (const { name, hopAddress, wire } of [
-  { name: "of the same host", hopAddress: "127.0.0.1:2", wire: ":2" },
-  { name: "of another host", hopAddress: "127.0.0.9:2", wire: "127.0.0.9:2" },
+  { name: "on the same host", hopAddress: "127.0.0.1:2", wire: ":2" },
+  { name: "on another host", hopAddress: "127.0.0.9:2", wire: "127.0.0.9:2" },
 ]) {
-  test(`a hop address ${name} arrives whole`, (t) => {
+  test(`hop address ${name} is restored from its short form on the wire`, (t) => {
     const self = { id: SidecarId("p"), peerAddress: "127.0.0.1:1", hopAddress };
     const now = () => 0;
     const p = new TargetTable({ ...self, zone: ZoneName("zone-a"), incarnation: 1 }, now);
-    p.announce(wireTarget("t-p", "ready"));
+    p.announce(protoTarget("t-p", "ready"));
     p.refreshOwn();
     t.is(p.own.hop_address, wire);
-    const { table } = setup();
+    const { table } = setUp();
     table.merge([p.own]);
     t.is(table.target(TargetId("t-p"))?.hopAddress, hopAddress);
   });
 }
 
-test("others are told a target's own address only where they may look at its health", (t) => {
-  const { table } = setup();
-  table.announce({ ...wireTarget("plain", "ready"), url: "http://127.0.0.1:3" });
-  table.announce({ ...wireTarget("checked", "ready"), health_path: "/healthz" });
+test("URL of a target is published to other members only if it has a health endpoint", (t) => {
+  const { table } = setUp();
+  table.announce({ ...protoTarget("plain", "ready"), url: "http://127.0.0.1:3" });
+  table.announce({ ...protoTarget("checked", "ready"), health_path: "/healthz" });
   table.refreshOwn();
   t.deepEqual(
     table.own.targets.map((target) => target.url),
--- a/src/membership/TargetTable.ts
+++ b/src/membership/TargetTable.ts
@@ -14,72 +14,74 @@
 type Member = ProtoTypes["Member"];
 
 /**
- * A target that has not re-announced itself for this long is taken as gone, ms.
- * Targets announce every 500 ms, so three are missed first.
+ * Time after which a target that has not announced itself again is considered gone, ms.
+ * Targets announce themselves every 500 ms, so three announcements must be missed.
  */
 const ANNOUNCE_TIMEOUT_MS = 1500;
 
 /**
- * A member found dead stays in the pool of record keepers for this long, ms. Cut
- * off is not gone: while it may still hold records, and may still be asked for
- * claims on its side of a cut, quorums must go on counting it. Long enough for
- * a cut to be noticed and callers' quick resends to end; short enough that a
- * lost machine's share of keys is at full strength again soon.
+ * Time for which a member found dead remains in the pool of record holders, ms. It may be cut
+ * off by a partition rather than gone. While it may still hold records, and may still receive claims
+ * on its side of the partition, quorums must count it. The time is long enough for a partition
+ * to be noticed and for callers' quick resends to end, and short enough that the keys of a lost
+ * machine soon have their full number of record holders again.
  */
-const RECORD_MEMBER_TIMEOUT_MS = 30_000;
+const RECORD_HOLDER_TIMEOUT_MS = 30_000;
 
-/** A sidecar as a keeper of records. */
-interface RecordMember {
+/** A sidecar that can be chosen as a record holder. */
+interface RecordHolder {
   readonly id: string;
   readonly zone: string;
   readonly peerAddress: string;
-  /** Rises with each start of its process: a restarted keeper may have lost its records. */
+  /** Rises with each start of its process; a restarted record holder may have lost its records. */
   readonly incarnation: number;
 }
 
-/** This process as a member. */
+/** The member that this process is. */
 interface Self {
   readonly id: SidecarId;
-  /** Where other members reach it: gRPC, and datagrams at the same port. */
+  /** Address for other members, host:port; gRPC and datagrams use the same port number. */
   readonly peerAddress: string;
-  /** Where other sidecars reach the gate to its target; left out for a control replica. */
+  /** Address at which other sidecars send requests for its targets, host:port; undefined for a control replica. */
   readonly hopAddress?: string;
   readonly zone: ZoneName;
   readonly incarnation: number;
 }
 
-interface Known {
+/** Another member, with what this process records about it. */
+interface KnownMember {
   readonly member: Member;
+  /** Digest of the entry's version. */
   readonly digest: number;
-  /** Local time at which it was last known to be alive. */
+  /** Local time at which it was last known to be alive, ms. */
   readonly aliveAt: number;
 }
 
-/** A member found dead is remembered for this long, so that late news does not bring it back, ms. */
-const GONE_MEMORY_MS = 600_000;
+/** Time for which a dead member's entry is kept, ms, so that outdated rumors do not bring it back. */
+const GONE_RETENTION_MS = 600_000;
 
 /**
- * The fleet's members as one sidecar sees them: its own targets from their
- * announcements, and other sidecars' entries from their news. Entries are
- * versioned by (incarnation, revision), so the newest always wins; a revision
- * rises only when the entry's content changes, so a quiet fleet has no news.
+ * One member's view of the fleet: its local targets, from their announcements, and the
+ * entries of other members, from gossip. Entries are versioned by (incarnation, revision),
+ * so the newest always wins. A revision rises only when the entry's content changes, so a
+ * fleet without changes sends no membership updates.
  */
 export class TargetTable {
   readonly #self: Member;
   readonly #now: () => number;
   readonly #local: LocalTargets;
-  readonly #remote = new Map<string, Known>();
+  readonly #remote = new Map<string, KnownMember>();
   #ownContent = "[]";
   #leaving = false;
   #checksum: number;
   readonly #index = new TargetIndex();
-  /** Live members other than this one; drawn up afresh after a change. */
+  /** Live members other than this one; rebuilt on first use after a change. */
   #live: readonly Member[] | undefined;
 
   /**
-   * @param self this member; its incarnation is the time of day of its start, ms
+   * @param self this member; its incarnation is its start time by the wall clock, ms
    * @param now monotonic clock, ms
-   * @param announceTimeoutMs a target silent for this long is taken as gone
+   * @param announceTimeoutMs a target that has not announced itself for this long is considered gone
    */
   constructor(self: Self, now: () => number, announceTimeoutMs = ANNOUNCE_TIMEOUT_MS) {
     this.#now = now;
@@ -119,14 +121,16 @@
     return this.#self.zone;
   }
 
-  /** Digest of every live entry's version: equal views have equal checksums. */
+  /** XOR of the digests of all live entries' versions; equal views have equal checksums. */
   get checksum(): number {
     return this.#checksum;
   }
 
   /**
-   * Records an announcement by a target beside this sidecar; false for one that says
-   * nothing new. `sequence` rises with each of the target's announcements.
+   * Records an announcement by a local target; false if it was ignored as outdated or not yet
+   * to be trusted.
+   *
+   * @param sequence rises with each of the target's announcements
    */
   announce(target: ProtoTypes["Target"], sequence = 0): boolean {
     if (this.#leaving || !this.#local.announce(target, sequence)) {
@@ -136,24 +140,24 @@
     return true;
   }
 
-  /** Forgets a target beside this sidecar that has said goodbye, in the life that began at `born`. */
+  /** Removes a local target that has left; `born` is the start time of the incarnation that left, 0 if not given. */
   withdraw(targetId: TargetId, born = 0): void {
     this.#local.withdraw(targetId, born);
     this.#indexOwn();
   }
 
-  /** Records that another target answers at the address of one beside this sidecar. */
+  /** Records that another target responds at the address of a local one. */
   noteReplaced(targetId: TargetId): void {
     this.#local.noteReplaced(targetId);
     this.#indexOwn();
   }
 
-  /** Live targets beside this sidecar. */
+  /** Live local targets. */
   localTargets(): TargetInfo[] {
     return this.#local.live().map((t) => toTargetInfo(t, this.#self));
   }
 
-  /** Brings our own entry up to date; true when it changed, which peers should hear. */
+  /** Updates this member's own entry; true if it changed, so that peers must be informed. */
   refreshOwn(): boolean {
     const targets = this.#leaving ? [] : this.#local.live();
     const content = JSON.stringify(targets);
@@ -162,16 +166,16 @@
     }
     this.#ownContent = content;
     this.#indexOwn();
-    this.#reviseOwn({ targets: targets.map(published), revision: this.#self.revision + 1 });
+    this.#reviseOwn({ targets: targets.map(toPublishedTarget), revision: this.#self.revision + 1 });
     return true;
   }
 
-  /** Declares that this member is being stopped; its targets take work until it leaves. */
+  /** Marks this member as being stopped; its targets accept requests until it leaves. */
   beginStop(): void {
     this.#reviseOwn({ stopping: true, revision: this.#self.revision + 1 });
   }
 
-  /** Declares this member gone, before it ends; it announces nothing from here on. */
+  /** Marks this member as gone before its process exits; local targets are no longer recorded from then on. */
   leave(): void {
     this.#leaving = true;
     this.#local.clear();
@@ -179,12 +183,12 @@
     this.#reviseOwn({ targets: [], gone: true, revision: this.#self.revision + 1 });
   }
 
-  /** Digests of every live entry's version, put together in so many buckets by the members' ids. */
+  /** The digests of all live entries' versions, combined by XOR into this many buckets by member id. */
   digests(buckets: number): number[] {
     const sums = new Array<number>(buckets).fill(0);
     const add = (id: string, digest: number) => {
-      const at = bucketOf(id, buckets);
-      sums[at] = ((sums[at] ?? 0) ^ digest) >>> 0;
+      const bucket = bucketOf(id, buckets);
+      sums[bucket] = ((sums[bucket] ?? 0) ^ digest) >>> 0;
     };
     add(this.#self.sidecar_id, entryDigest(this.#self));
     this.#remote.forEach(({ digest }, id) => {
@@ -193,14 +197,14 @@
     return sums;
   }
 
-  /** Entries, the dead ones included, in the buckets in which a peer's digests differ from those here. */
+  /** Entries, dead ones included, of the buckets whose digests differ from a peer's. */
   differing(theirs: readonly number[]): Member[] {
     const own = this.digests(theirs.length);
-    const differs = own.map((digest, at) => digest !== theirs[at]);
+    const differs = own.map((digest, bucket) => digest !== theirs[bucket]);
     return this.entries().filter((m) => differs[bucketOf(m.sidecar_id, theirs.length)]);
   }
 
-  /** Every entry, the dead ones included, for a peer's whole view. */
+  /** The whole view: all entries, dead ones included. */
   entries(): Member[] {
     return [this.#self, ...[...this.#remote.values()].map((k) => k.member)];
   }
@@ -210,20 +214,20 @@
     return id === this.#self.sidecar_id ? this.#self : this.#remote.get(id)?.member;
   }
 
-  /** Whether an entry that came says just what is known here. */
+  /** Whether a received entry has the same version as the local one. */
   isKnown(member: Member): boolean {
     const known = this.entry(member.sidecar_id);
     return known !== undefined && !isNewer(member, known) && !isNewer(known, member);
   }
 
-  /** Takes in entries; returns those that were news here, to be passed on. */
+  /** Merges received entries; returns those that were new here, to be spread further. */
   merge(members: readonly Member[]): Member[] {
     return members.filter((m) =>
-      m.sidecar_id === this.#self.sidecar_id ? this.#refute(m) : this.#take(m),
+      m.sidecar_id === this.#self.sidecar_id ? this.#refute(m) : this.#mergeRemote(m),
     );
   }
 
-  /** Notes that a member was heard just now. */
+  /** Records that a member was reached just now. */
   noteAlive(id: string): void {
     const known = this.#remote.get(id);
     if (known && !known.member.gone) {
@@ -231,10 +235,10 @@
     }
   }
 
-  /** Declares a member dead; true when that is news. */
+  /** Declares a member dead; true if it was not known to be dead yet. */
   declareGone(id: string): boolean {
     const known = this.#remote.get(id);
-    return known !== undefined && this.#take({ ...known.member, gone: true });
+    return known !== undefined && this.#mergeRemote({ ...known.member, gone: true });
   }
 
   /** Live members other than this one. */
@@ -243,9 +247,9 @@
     return this.#live;
   }
 
-  /** Members found dead and not forgotten yet: a healed partition is found by trying them. */
+  /** Dead members whose entries are still kept; contacting them finds the other side of a healed partition. */
   goneMembers(): Member[] {
-    const cutoff = this.#now() - GONE_MEMORY_MS;
+    const cutoff = this.#now() - GONE_RETENTION_MS;
     for (const [id, known] of this.#remote) {
       if (known.member.gone && known.aliveAt < cutoff) {
         this.#remote.delete(id);
@@ -254,18 +258,20 @@
     return [...this.#remote.values()].map((k) => k.member).filter((m) => m.gone);
   }
 
-  /** Where control replicas that are members are reached. */
+  /** Peer addresses of the live control replicas. */
   controlAddresses(): string[] {
     return this.liveMembers()
       .filter((m) => m.control)
       .map((m) => m.peer_address);
   }
 
-  /** Sidecars that keep records of non-idempotent requests, this one included; not those that are being stopped. */
-  recordPool(): RecordMember[] {
-    const cutoff = this.#now() - RECORD_MEMBER_TIMEOUT_MS;
-    const heard = [...this.#remote.values()].filter((k) => !k.member.gone || k.aliveAt >= cutoff);
-    const sidecars = [this.#self, ...heard.map((k) => k.member)].filter(
+  /** Sidecars eligible as record holders, this one included; without those that are being stopped. */
+  recordPool(): RecordHolder[] {
+    const cutoff = this.#now() - RECORD_HOLDER_TIMEOUT_MS;
+    const candidates = [...this.#remote.values()].filter(
+      (k) => !k.member.gone || k.aliveAt >= cutoff,
+    );
+    const sidecars = [this.#self, ...candidates.map((k) => k.member)].filter(
       (m) => !m.control && !m.stopping,
     );
     return sidecars.map((m) => ({
@@ -276,12 +282,12 @@
     }));
   }
 
-  /** Every live target of `service`, in any state; the same array until one of them changes. */
+  /** All live targets of `service`, in any state; the same array until one of them changes. */
   targetsOf(service: ServiceName): readonly TargetInfo[] {
     return this.#index.of(service);
   }
 
-  /** Every live target the sidecar knows of. */
+  /** All known live targets. */
   allTargets(): readonly TargetInfo[] {
     return this.#index.all();
   }
@@ -296,7 +302,7 @@
     return 1 + this.liveMembers().length;
   }
 
-  /** Members, this one included, and those found dead that are remembered still. */
+  /** Number of members, this one included, and of dead ones whose entries are still kept. */
   get knownCount(): number {
     return 1 + this.#remote.size;
   }
@@ -305,7 +311,7 @@
     this.#index.set(this.#self.sidecar_id, this.localTargets());
   }
 
-  #take(member: Member): boolean {
+  #mergeRemote(member: Member): boolean {
     const known = this.#remote.get(member.sidecar_id);
     if (known && !isNewer(member, known.member)) {
       return false;
@@ -313,23 +319,22 @@
     const digest = entryDigest(member);
     this.#remote.set(member.sidecar_id, { member, digest, aliveAt: this.#now() });
     this.#live = undefined;
-    this.#index.set(member.sidecar_id, targetsBeside(member));
+    this.#index.set(member.sidecar_id, targetsOfMember(member));
     this.#checksum = (this.#checksum ^ (known?.digest ?? 0) ^ digest) >>> 0;
     return true;
   }
 
   /**
-   * Contradicts news of ourselves that we did not give: a word that we are dead, or an
-   * entry from before a restart whose incarnation is higher than ours, since the
-   * time of day has been set back in between.
+   * Refutes a newer entry about this member that it did not publish: one that declares it dead, or one
+   * from before a restart whose incarnation is higher, since the wall clock was set back in between.
    */
-  #refute(said: Member): boolean {
-    if (this.#leaving || !isNewer(said, this.#self)) {
+  #refute(claimed: Member): boolean {
+    if (this.#leaving || !isNewer(claimed, this.#self)) {
       return false;
     }
-    const stale = said.incarnation > this.#self.incarnation;
-    const incarnation = stale ? said.incarnation + 1 : this.#self.incarnation;
-    this.#reviseOwn({ incarnation, revision: said.revision + 1 });
+    const wasSetBack = claimed.incarnation > this.#self.incarnation;
+    const incarnation = wasSetBack ? claimed.incarnation + 1 : this.#self.incarnation;
+    this.#reviseOwn({ incarnation, revision: claimed.revision + 1 });
     return true;
   }
 
@@ -354,32 +359,32 @@
   return a.gone && !b.gone;
 }
 
-/** What other members are told of a target: its address is of use only to those who look at its health themselves. */
-function published(target: ProtoTypes["Target"]): ProtoTypes["Target"] {
+/** The form of a target published to other members. Only those that check its health themselves need its URL. */
+function toPublishedTarget(target: ProtoTypes["Target"]): ProtoTypes["Target"] {
   return target.health_path === "" ? { ...target, url: "" } : target;
 }
 
-/** The targets that a member's entry tells of; none where it is gone. */
-function targetsBeside(member: Member): TargetInfo[] {
+/** The targets in a member's entry; none if the member is gone. */
+function targetsOfMember(member: Member): TargetInfo[] {
   return member.gone ? [] : member.targets.map((t) => toTargetInfo(t, member));
 }
 
-function toTargetInfo(t: ProtoTypes["Target"], beside: Member): TargetInfo {
+function toTargetInfo(t: ProtoTypes["Target"], member: Member): TargetInfo {
   return {
     id: TargetId(t.target_id),
     service: ServiceName(t.service),
     url: t.url,
     slots: t.slots,
     state: toTargetState(t.state),
-    zone: ZoneName(beside.zone),
-    hopAddress: memberAddress.expand(beside.hop_address, beside.peer_address),
-    askAddress: beside.peer_address,
+    zone: ZoneName(member.zone),
+    hopAddress: memberAddress.expand(member.hop_address, member.peer_address),
+    askAddress: member.peer_address,
     healthPath: t.health_path,
     born: t.born,
   };
 }
 
-/** A state name from the wire; an unknown one (a newer peer's) counts as cold, so it gets no work. */
+/** Parses a state name from the wire; an unknown one (from a newer peer) counts as cold, so that it gets no requests. */
 function toTargetState(raw: string): TargetState {
   switch (raw) {
     case "ready":
