--- a/src/sidecar/config/ConfigFollower.test.ts
+++ b/src/sidecar/config/ConfigFollower.test.ts
@@ -27,10 +27,10 @@
     log,
   });
 
-const offers: readonly { name: string; versions: number[]; want: number }[] = [
-  { name: "newer versions are taken in order", versions: [1, 2, 3], want: 3 },
-  { name: "an older version after a newer one is dropped", versions: [5, 3], want: 5 },
-  { name: "a replayed equal version is dropped", versions: [2, 2], want: 2 },
+const offers: readonly { name: string; versions: number[]; expected: number }[] = [
+  { name: "newer versions are applied in order", versions: [1, 2, 3], expected: 3 },
+  { name: "older version after a newer one is dropped", versions: [5, 3], expected: 5 },
+  { name: "repeated version is dropped", versions: [2, 2], expected: 2 },
 ];
 
 for (const c of offers) {
@@ -39,14 +39,13 @@
     for (const version of c.versions) {
       f.offer(whole(version));
     }
-    t.is(f.version, c.want);
+    t.is(f.version, c.expected);
   });
 }
 
-test("a restarted sidecar comes back with its last accepted version from disk", (t) => {
-  // Story: a sidecar took version 7, then was restarted while control was
-  // unreachable. It must serve version 7 at once, not nothing, and must still
-  // refuse a lagging replica's version 6 afterwards.
+test("restarted sidecar loads its last accepted version from disk, and keeps refusing older ones", (t) => {
+  // A sidecar with version 7 is restarted while control is unreachable. It must serve
+  // version 7 at once, and must still refuse version 6 from a lagging replica afterwards.
   const dir = mkdtempSync(join(tmpdir(), "bp-follower-"));
   follower(dir).offer(whole(7));
   const restarted = follower(dir);
--- a/src/sidecar/config/ConfigFollower.ts
+++ b/src/sidecar/config/ConfigFollower.ts
@@ -13,39 +13,40 @@
 import { ControlWatch } from "./ControlWatch.ts";
 import { WatchSlot } from "./WatchSlot.ts";
 
-const DOC_FILE = "accepted-config.json";
+const DOCUMENT_FILE = "accepted-config.json";
 
 /**
- * Replicas followed at the same time. With one, a change is late here when that
- * replica is slow, or its disk stands still, or the path to it was just cut.
+ * Number of replicas followed at the same time. With a single one, a change arrives late
+ * when that replica is slow, its disk stalls, or the network path to it has just failed.
  */
-const WATCHES = 2;
+const WATCH_COUNT = 2;
 
 interface ConfigFollowerDeps {
-  /** Control replicas known at the moment, host:port. */
+  /** Addresses of the currently known control replicas, host:port. */
   readonly controls: () => readonly string[];
+  /** Folder for the last accepted document; undefined to keep none. */
   readonly dataDir: string | undefined;
   readonly sidecarId: string;
   readonly clock: Clock;
-  /** In [0, 1). */
+  /** Returns a number in [0, 1). */
   readonly random: () => number;
   readonly log: bunyan;
-  /** Told the size of every message to and from control. */
+  /** Called with the method and size of every message to and from control. */
   readonly note?: NoteBytes;
-  /** Called when another version has come into force. */
+  /** Called after another version has come into force. */
   readonly onChange?: () => void;
 }
 
 /**
- * Follows control's accepted documents. Versions only go up: an older or equal one
- * (a lagging replica, a replayed message) is dropped, so the document in force never
- * reverts. The last accepted one is kept synced under the data folder, where there is
- * one, for restarts.
+ * Follows the configuration documents that control accepts. Versions only rise: an older or
+ * equal one (from a lagging replica or a repeated message) is dropped, so the document in force
+ * never reverts. The last accepted document is saved in the data folder, if there is one, and
+ * synced to disk, so that a restarted sidecar has it at once.
  */
 export class ConfigFollower implements ConfigSource, IDisposable {
   readonly #deps: ConfigFollowerDeps;
   readonly #history = new DocumentHistory();
-  readonly #slots: WatchSlot[] = [];
+  readonly #watches: WatchSlot[] = [];
   #routes: RouteIndex | undefined;
   #inForceSince: number | undefined;
 
@@ -54,22 +55,22 @@
     this.#loadFromDisk();
   }
 
-  /** Version in force here; 0 before any. */
+  /** Version in force at this sidecar; 0 before any. */
   get version(): number {
     return this.#history.version;
   }
 
-  /** When the document in force here came into force, by the steady clock, ms; undefined before any. */
+  /** Monotonic time at which the current document came into force, ms; undefined before any. */
   get inForceSince(): number | undefined {
     return this.#inForceSince;
   }
 
-  /** Document in force here; undefined before any. */
+  /** Document in force at this sidecar; undefined before any. */
   get document(): OperatorDocument | undefined {
     return this.#routes && this.#history.document;
   }
 
-  /** The routes in force here; undefined before any document. */
+  /** Routes in force at this sidecar; undefined before any document. */
   get routes(): RouteIndex | undefined {
     return this.#routes;
   }
@@ -78,38 +79,38 @@
     return this.#history.since(version);
   }
 
-  /** Follows control until disposed. */
+  /** Starts following control, until disposed. */
   start(): void {
-    for (let n = 0; n < WATCHES; n++) {
-      const slot = this.#openSlot();
-      this.#slots.push(slot);
-      slot.start();
+    for (let n = 0; n < WATCH_COUNT; n++) {
+      const watch = this.#createWatch();
+      this.#watches.push(watch);
+      watch.start();
     }
   }
 
   dispose(): void {
-    this.#slots.forEach((s) => {
-      s.dispose();
+    this.#watches.forEach((w) => {
+      w.dispose();
     });
   }
 
-  /** Takes `update` when it is newer; the single gate through which documents enter. */
+  /** Applies `update` if it is newer. All documents, from control, disk or members, pass through here. */
   offer(update: DocumentUpdate): "taken" | "stale" | "gap" {
-    const taken = this.#history.take(update);
-    if (taken === "taken") {
+    const result = this.#history.take(update);
+    if (result === "taken") {
       this.#routes = new RouteIndex(this.#history.document);
       this.#inForceSince = this.#deps.clock.now();
       this.#persist();
       this.#deps.log.info({ version: update.version, by: update.kind }, "configuration in force");
       this.#deps.onChange?.();
     }
-    return taken;
+    return result;
   }
 
-  #openSlot(): WatchSlot {
+  #createWatch(): WatchSlot {
     const { sidecarId, note, clock, log } = this.#deps;
     return new WatchSlot({
-      choose: (avoid) => this.#choose(avoid),
+      choose: (avoid) => this.#chooseReplica(avoid),
       open: (address, events) =>
         new ControlWatch({ sidecarId, note, ...events }, address, this.version),
       take: (update) => this.offer(update),
@@ -118,13 +119,13 @@
     });
   }
 
-  /** A replica that no slot follows and that is not to be avoided, where there is one. */
-  #choose(avoid: ReadonlySet<string>): string | undefined {
+  /** A random replica, if possible one that is not followed yet and not in `avoid`. */
+  #chooseReplica(avoid: ReadonlySet<string>): string | undefined {
     const { controls, random } = this.#deps;
-    const taken = new Set(this.#slots.flatMap((s) => s.addresses));
+    const followed = new Set(this.#watches.flatMap((w) => w.addresses));
     const known = controls();
     const pool = [
-      known.filter((a) => !taken.has(a) && !avoid.has(a)),
+      known.filter((a) => !followed.has(a) && !avoid.has(a)),
       known.filter((a) => !avoid.has(a)),
       known,
     ].find((candidates) => candidates.length > 0);
@@ -137,11 +138,14 @@
       return;
     }
     try {
-      const text = readFileSync(join(dataDir, DOC_FILE), "utf8");
+      const text = readFileSync(join(dataDir, DOCUMENT_FILE), "utf8");
       this.offer(JSON.parse(text) as DocumentUpdate);
     } catch (err) {
-      // No file yet, or a lost disk: control's current version is taken instead.
-      log.info({ err: err instanceof Error ? err.message : err }, "no document on disk");
+      // There is no file yet, or the disk was lost; the current version comes from control instead.
+      log.info(
+        { err: err instanceof Error ? err.message : err },
+        "no configuration document loaded from disk",
+      );
     }
   }
 
@@ -151,10 +155,10 @@
       return;
     }
     try {
-      writeFileSynced(join(dataDir, DOC_FILE), JSON.stringify(this.#history.whole));
+      writeFileSynced(join(dataDir, DOCUMENT_FILE), JSON.stringify(this.#history.whole));
     } catch (err) {
-      // It is in force all the same; only a restart without control would miss it.
-      log.warn({ err }, "the document could not be kept on disk");
+      // The document is in force nevertheless; it is missing only if control is unreachable after a restart.
+      log.warn({ err }, "could not save the configuration document to disk");
     }
   }
 }
