--- a/src/sidecar/config/ControlWatch.ts
+++ b/src/sidecar/config/ControlWatch.ts
@@ -9,17 +9,18 @@
 
 interface ControlWatchDeps {
   readonly sidecarId: string;
+  /** Called with the method and size of every message to and from control. */
   readonly note: NoteBytes | undefined;
   readonly onUpdate: (update: DocumentUpdate) => void;
-  /** Called while the replica is reached: about once a second, and with each part of an update. */
+  /** Called for each message from the replica: a heartbeat about once a second, and each part of an update. */
   readonly onHeartbeat: () => void;
-  /** Called once, when the watch has ended, for whatever reason. */
+  /** Called once, when the watch has ended for any reason. */
   readonly onEnd: (reason: string) => void;
-  /** Called once, when the replica has taken the watch on. */
+  /** Called once, when the replica has accepted the watch. */
   readonly onOpen: () => void;
 }
 
-/** One watch of the document at one control replica, from its start to its end. */
+/** A stream of document updates from one control replica; it is not reopened after it has ended. */
 export class ControlWatch implements IDisposable {
   readonly #deps: ControlWatchDeps;
   readonly #client: ControlClient;
@@ -27,7 +28,7 @@
   readonly #parts = new VersionParts();
   #ended = false;
 
-  /** @param haveVersion the version in force here; what follows it is sent */
+  /** @param haveVersion the version in force at this sidecar; the replica sends the updates after it */
   constructor(deps: ControlWatchDeps, address: string, haveVersion: number) {
     this.#deps = deps;
     this.#client = ControlClient(address, deps.note);
@@ -47,7 +48,7 @@
       this.#end(err.details);
     });
     this.#call.on("end", () => {
-      this.#end("the replica ended it");
+      this.#end("ended by the replica");
     });
   }
 
