--- a/src/sidecar/config/DocumentWait.ts
+++ b/src/sidecar/config/DocumentWait.ts
@@ -2,25 +2,26 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 
 /**
- * Longest that a request is held for a document, ms: within usual objectives of a second and more, with
- * time left to serve it.
+ * Maximum time for which a request is held until a document arrives, ms. Usual latency objectives are a second or
+ * more, so there is time left to serve the request.
  */
-const HOLD_MS = 800;
+const MAX_HOLD_MS = 800;
 
 /**
- * A sidecar that has no document this long after its start is not about to get one, ms: replicas
- * that were killed with it are back, and have a leader, within a second. Requests are refused at once then.
+ * Time after a sidecar's start during which requests are held, ms. Control replicas that were killed together with
+ * the sidecar are back, and have a leader, within a second. A sidecar without a document after this time is unlikely
+ * to get one soon, so requests are refused at once.
  */
-const STARTING_MS = 3000;
+const STARTUP_MS = 3000;
 
-/** Requests held at a time, at most: a sidecar takes a few dozen a second. */
+/** Maximum number of held requests; a sidecar receives a few dozen a second. */
 const MAX_HELD = 64;
 
 /**
- * Holds requests that reach a sidecar which has just started, and has no document yet.
+ * Holds requests that reach a sidecar which has just started and has no document yet.
  * After all processes were killed, sidecars are back some hundred milliseconds before
- * control has a leader; what came in between was refused, 106 to 154 requests a played
- * day of some 5,000, though it could have been served within its objective.
+ * control has a leader. Requests that arrived in between used to be refused, 106 to 154 of
+ * some 5,000 a played day, though they could have been served within their objective.
  */
 export class DocumentWait {
   readonly #clock: Clock;
@@ -32,14 +33,14 @@
     this.#startedAt = clock.now();
   }
 
-  /** Resolves once there is a document, or when it is no use to wait for one any longer. */
+  /** Resolves once there is a document, or when the request should not be held any longer. */
   wait(): Promise<void> {
-    const isStarting = this.#clock.now() - this.#startedAt < STARTING_MS;
+    const isStarting = this.#clock.now() - this.#startedAt < STARTUP_MS;
     if (!isStarting || this.#held.size >= MAX_HELD) {
       return Promise.resolve();
     }
     return new Promise((resolve) => {
-      const timer: Timer = this.#clock.after(HOLD_MS, () => {
+      const timer: Timer = this.#clock.after(MAX_HOLD_MS, () => {
         release();
       });
       const release = () => {
@@ -51,7 +52,7 @@
     });
   }
 
-  /** There is a document: lets go of all requests that wait for it. */
+  /** Resolves all waits, because there is a document now. */
   release(): void {
     for (const release of [...this.#held]) {
       release();
