--- a/src/sidecar/config/ConfigFollower.ts
+++ b/src/sidecar/config/ConfigFollower.ts
@@ -11,7 +11,7 @@
 import type { ConfigSource } from "../../membership/ConfigSource.ts";
 import { RouteIndex } from "../routing/RouteIndex.ts";
 import { ControlWatch } from "./ControlWatch.ts";
-import { WatchSlot } from "./WatchSlot.ts";
+import { WatchSupervisor } from "./WatchSupervisor.ts";
 
 const DOCUMENT_FILE = "accepted-config.json";
 
@@ -46,7 +46,7 @@
 export class ConfigFollower implements ConfigSource, IDisposable {
   readonly #deps: ConfigFollowerDeps;
   readonly #history = new DocumentHistory();
-  readonly #watches: WatchSlot[] = [];
+  readonly #watches: WatchSupervisor[] = [];
   #routes: RouteIndex | undefined;
   #inForceSince: number | undefined;
 
@@ -107,9 +107,9 @@
     return result;
   }
 
-  #createWatch(): WatchSlot {
+  #createWatch(): WatchSupervisor {
     const { sidecarId, note, clock, log } = this.#deps;
-    return new WatchSlot({
+    return new WatchSupervisor({
       choose: (avoid) => this.#chooseReplica(avoid),
       open: (address, events) =>
         new ControlWatch({ sidecarId, note, ...events }, address, this.version),
--- a/src/sidecar/config/WatchSlot.test.ts
+++ b/src/sidecar/config/WatchSupervisor.test.ts
@@ -2,9 +2,9 @@
 import bunyan from "bunyan";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
 import { EMPTY_DOCUMENT } from "../../common/document/EMPTY_DOCUMENT.ts";
-import { WatchSlot } from "./WatchSlot.ts";
+import { WatchSupervisor } from "./WatchSupervisor.ts";
 
-type Events = Parameters<ConstructorParameters<typeof WatchSlot>[0]["open"]>[1];
+type Events = Parameters<ConstructorParameters<typeof WatchSupervisor>[0]["open"]>[1];
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 const update = { kind: "whole", version: 1, document: EMPTY_DOCUMENT } as const;
@@ -20,7 +20,7 @@
 function rig(replicas: readonly string[], take = () => "taken" as "taken" | "gap") {
   const clock = new FakeClock();
   const watches: FakeWatch[] = [];
-  const slot = new WatchSlot({
+  const slot = new WatchSupervisor({
     choose: (avoid) => replicas.find((r) => !avoid.has(r)) ?? replicas[0],
     open: (address, events) => {
       const watch = { address, events, isClosed: false };
--- a/src/sidecar/config/WatchSlot.ts
+++ b/src/sidecar/config/WatchSupervisor.ts
@@ -47,7 +47,7 @@
  * falls silent, another is started beside it, and the first to open is kept. Given up one by one, none would open over
  * a link whose delay exceeds the timeout.
  */
-export class WatchSlot {
+export class WatchSupervisor {
   readonly #deps: WatchSlotDeps;
   #current: Watched | undefined;
   #opening: readonly Watched[] = [];
