--- a/src/sidecar/config/ConfigFollower.ts
+++ b/src/sidecar/config/ConfigFollower.ts
@@ -113,7 +113,7 @@
       choose: (avoid) => this.#chooseReplica(avoid),
       open: (address, events) =>
         new ControlWatch({ sidecarId, note, ...events }, address, this.version),
-      take: (update) => this.offer(update),
+      apply: (update) => this.offer(update),
       clock,
       log,
     });
--- a/src/sidecar/config/WatchSupervisor.test.ts
+++ b/src/sidecar/config/WatchSupervisor.test.ts
@@ -9,18 +9,18 @@
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 const update = { kind: "whole", version: 1, document: EMPTY_DOCUMENT } as const;
 
-/** A watch that a test plays the other side of. */
+/** A watch whose events the test triggers. */
 interface FakeWatch {
   readonly address: string;
   readonly events: Events;
   isClosed: boolean;
 }
 
-/** A slot that chooses among `replicas` in their order. */
-function rig(replicas: readonly string[], take = () => "taken" as "taken" | "gap") {
+/** A supervisor that chooses the first of `replicas` that is not to be avoided. */
+function setUp(replicas: readonly string[], apply = () => "taken" as "taken" | "gap") {
   const clock = new FakeClock();
   const watches: FakeWatch[] = [];
-  const slot = new WatchSupervisor({
+  const supervisor = new WatchSupervisor({
     choose: (avoid) => replicas.find((r) => !avoid.has(r)) ?? replicas[0],
     open: (address, events) => {
       const watch = { address, events, isClosed: false };
@@ -32,17 +32,17 @@
         },
       };
     },
-    take,
+    apply,
     clock,
     log,
   });
   const open = () => watches.filter((w) => !w.isClosed).map((w) => w.address);
-  return { clock, slot, watches, open };
+  return { clock, supervisor, watches, open };
 }
 
-test("watch slot: a watch that is slow to open is raced by others and kept until one opens", async (t) => {
-  const { clock, slot, watches, open } = rig(["a", "b", "c"]);
-  slot.start();
+test("watch that is slow to open is raced by others, and kept until one opens", async (t) => {
+  const { clock, supervisor, watches, open } = setUp(["a", "b", "c"]);
+  supervisor.start();
   await clock.advance(2500);
   t.deepEqual(open(), ["a", "b", "c"]);
   watches[0]?.events.onOpen();
@@ -51,9 +51,9 @@
   t.deepEqual(open(), ["a"], "the race is over");
 });
 
-test("watch slot: watches being opened are bounded, and each has six seconds", async (t) => {
-  const { clock, slot, open, watches } = rig(["a"]);
-  slot.start();
+test("number of watches being opened is bounded, and each has 6 s", async (t) => {
+  const { clock, supervisor, open, watches } = setUp(["a"]);
+  supervisor.start();
   await clock.advance(5900);
   t.is(open().length, 6);
   t.false(watches[0]?.isClosed);
@@ -62,9 +62,9 @@
   t.true(watches[0]?.isClosed);
 });
 
-test("watch slot: a silent watch is kept until another has opened", async (t) => {
-  const { clock, slot, watches, open } = rig(["a", "b"]);
-  slot.start();
+test("silent watch is kept until another has opened", async (t) => {
+  const { clock, supervisor, watches, open } = setUp(["a", "b"]);
+  supervisor.start();
   watches[0]?.events.onOpen();
   watches[0]?.events.onHeartbeat();
   await clock.advance(2600);
@@ -73,9 +73,9 @@
   t.deepEqual(open(), ["b"]);
 });
 
-test("watch slot: a silent watch that is heard again is kept, and the race ends", async (t) => {
-  const { clock, slot, watches, open } = rig(["a", "b"]);
-  slot.start();
+test("silent watch that receives a heartbeat again is kept, and the race ends", async (t) => {
+  const { clock, supervisor, watches, open } = setUp(["a", "b"]);
+  supervisor.start();
   watches[0]?.events.onOpen();
   watches[0]?.events.onHeartbeat();
   await clock.advance(2600);
@@ -84,9 +84,9 @@
   t.deepEqual(open(), ["a"]);
 });
 
-test("watch slot: a replica that sends no heartbeats is not taken for silent", async (t) => {
-  const { clock, slot, watches, open } = rig(["a", "b"]);
-  slot.start();
+test("replica that never sends heartbeats is not considered silent", async (t) => {
+  const { clock, supervisor, watches, open } = setUp(["a", "b"]);
+  supervisor.start();
   watches[0]?.events.onOpen();
   await clock.advance(60_000);
   t.deepEqual(open(), ["a"]);
@@ -108,9 +108,9 @@
 ];
 
 for (const { name, end } of ends) {
-  test(`watch slot: a watch ${name} is replaced within a fifth of a second`, async (t) => {
-    const { clock, slot, watches } = rig(["a"], () => "gap");
-    slot.start();
+  test(`watch ${name} is replaced within 200 ms`, async (t) => {
+    const { clock, supervisor, watches } = setUp(["a"], () => "gap");
+    supervisor.start();
     watches[0]?.events.onOpen();
     if (watches[0]) {
       end(watches[0].events);
@@ -120,13 +120,13 @@
   });
 }
 
-test("watch slot: nothing is opened or kept open once it is disposed", async (t) => {
-  const { clock, slot, watches, open } = rig(["a", "b"]);
-  slot.start();
+test("no watch is opened or kept open after the supervisor is disposed", async (t) => {
+  const { clock, supervisor, watches, open } = setUp(["a", "b"]);
+  supervisor.start();
   watches[0]?.events.onOpen();
   watches[0]?.events.onHeartbeat();
   await clock.advance(2600);
-  slot.dispose();
+  supervisor.dispose();
   await clock.advance(10_000);
   t.deepEqual(open(), []);
 });
--- a/src/sidecar/config/WatchSupervisor.ts
+++ b/src/sidecar/config/WatchSupervisor.ts
@@ -4,67 +4,68 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { ControlWatch } from "./ControlWatch.ts";
 
-/** A watch that has not opened after this long is raced by another one, ms. */
-const STAGGER_MS = 1000;
+/** Time after which a watch that has not opened yet is raced by another one, ms. */
+const RACE_STAGGER_MS = 1000;
 
 /**
- * Watches that are being opened at the same time, at most; the oldest is given up for the next. Each then has 6 s: three
- * round trips over a congested link.
+ * Maximum number of watches that are being opened at the same time; the oldest is closed to start another. Each thus
+ * has 6 s to open: three round trips over a congested link.
  */
 const MAX_OPENING = 6;
 
-/** Wait before another replica is followed after one went away, ms. */
+/** Delay before another watch is started after the current one has ended, ms. */
 const REOPEN_MS = 200;
 
-/** A watch without a heartbeat for this long is raced by another one, ms; heartbeats come every second. */
-const SILENCE_MS = 2500;
+/** Time without a heartbeat after which a watch is raced by another one, ms; replicas send one every second. */
+const HEARTBEAT_TIMEOUT_MS = 2500;
 
-/** What a watch reports. */
+/** The events of a watch. */
 type WatchEvents = Pick<
   ConstructorParameters<typeof ControlWatch>[0],
   "onUpdate" | "onHeartbeat" | "onEnd" | "onOpen"
 >;
 
-interface WatchSlotDeps {
-  /** A replica to follow, other than those in `avoid` if possible; undefined where none is known. */
+interface WatchSupervisorDeps {
+  /** Chooses a replica to follow, if possible one not in `avoid`; undefined if no replica is known. */
   readonly choose: (avoid: ReadonlySet<string>) => string | undefined;
   /** Opens a watch at a replica. */
   readonly open: (address: string, events: WatchEvents) => Pick<ControlWatch, "dispose">;
-  /** Takes an update; `gap` where it does not follow the version in force. */
-  readonly take: (update: DocumentUpdate) => "taken" | "stale" | "gap";
+  /** Applies an update; `gap` if it is not based on the version in force. */
+  readonly apply: (update: DocumentUpdate) => "taken" | "stale" | "gap";
   readonly clock: Clock;
   readonly log: bunyan;
 }
 
-/** One watch, open or being opened. */
-interface Watched {
+/** A watch that is open or being opened. */
+interface WatchHandle {
   readonly address: string;
   watch: Pick<ControlWatch, "dispose"> | undefined;
 }
 
 /**
- * Keeps one watch of the document open. Watches are raced, as connections are in RFC 8305: where one is slow to open, or
- * falls silent, another is started beside it, and the first to open is kept. Given up one by one, none would open over
- * a link whose delay exceeds the timeout.
+ * Keeps one watch of the configuration document open. Watches are raced like connections in RFC 8305: if one is slow to
+ * open, or receives no heartbeats, another is started in parallel, and the first to open is kept. If each were closed
+ * before the next is started, none would ever open over a link whose delay exceeds the timeout.
  */
 export class WatchSupervisor {
-  readonly #deps: WatchSlotDeps;
-  #current: Watched | undefined;
-  #opening: readonly Watched[] = [];
+  readonly #deps: WatchSupervisorDeps;
+  /** The open watch; it may be silent. */
+  #current: WatchHandle | undefined;
+  #opening: readonly WatchHandle[] = [];
   #raceTimer: Timer | undefined;
-  #silenceTimer: Timer | undefined;
+  #heartbeatTimer: Timer | undefined;
   #stopped = false;
 
-  constructor(deps: WatchSlotDeps) {
+  constructor(deps: WatchSupervisorDeps) {
     this.#deps = deps;
   }
 
-  /** Replicas that are followed, or about to be. */
+  /** Addresses of the replicas whose watches are open or being opened. */
   get addresses(): readonly string[] {
     return [...(this.#current ? [this.#current] : []), ...this.#opening].map((w) => w.address);
   }
 
-  /** Opens a watch; the one that is open, if there is one, is kept until another has opened. */
+  /** Starts to open another watch; the current one, if any, is kept until another has opened. */
   start(): void {
     if (this.#stopped) {
       return;
@@ -73,12 +74,12 @@
     if (address !== undefined) {
       this.#openAt(address);
     }
-    this.#raceAfter(address === undefined ? REOPEN_MS : STAGGER_MS);
+    this.#scheduleStart(address === undefined ? REOPEN_MS : RACE_STAGGER_MS);
   }
 
   dispose(): void {
     this.#stopped = true;
-    this.#silenceTimer?.cancel();
+    this.#heartbeatTimer?.cancel();
     this.#endRace();
     this.#current?.watch?.dispose();
   }
@@ -88,75 +89,78 @@
     if (this.#opening.length >= MAX_OPENING) {
       oldest?.watch?.dispose();
     }
-    const watched: Watched = { address, watch: undefined };
-    this.#opening = [...this.#opening, watched];
-    watched.watch = this.#deps.open(address, {
+    const handle: WatchHandle = { address, watch: undefined };
+    this.#opening = [...this.#opening, handle];
+    handle.watch = this.#deps.open(address, {
       onOpen: () => {
-        this.#adopt(watched);
+        this.#onOpen(handle);
       },
       onUpdate: (update) => {
-        this.#onUpdate(watched, update);
+        this.#onUpdate(handle, update);
       },
       onHeartbeat: () => {
-        this.#onHeard(watched);
+        this.#onHeartbeat(handle);
       },
       onEnd: (reason) => {
-        this.#onEnd(watched, reason);
+        this.#onEnd(handle, reason);
       },
     });
   }
 
-  #adopt(watched: Watched): void {
-    const before = this.#current;
-    this.#current = watched;
-    this.#silenceTimer?.cancel();
-    this.#opening = this.#opening.filter((w) => w !== watched);
+  #onOpen(handle: WatchHandle): void {
+    const previous = this.#current;
+    this.#current = handle;
+    this.#heartbeatTimer?.cancel();
+    this.#opening = this.#opening.filter((w) => w !== handle);
     this.#endRace();
-    before?.watch?.dispose();
-    this.#deps.log.info({ replica: watched.address }, "following control");
+    previous?.watch?.dispose();
+    this.#deps.log.info({ replica: handle.address }, "following control");
   }
 
-  #onUpdate(watched: Watched, update: DocumentUpdate): void {
-    if (this.#deps.take(update) === "gap") {
-      // A new watch starts with what is missing here.
-      watched.watch?.dispose();
+  #onUpdate(handle: WatchHandle, update: DocumentUpdate): void {
+    if (this.#deps.apply(update) === "gap") {
+      // The watch opened next begins with the missing updates.
+      handle.watch?.dispose();
     }
   }
 
-  #onHeard(watched: Watched): void {
-    if (watched !== this.#current) {
+  #onHeartbeat(handle: WatchHandle): void {
+    if (handle !== this.#current) {
       return;
     }
     this.#endRace();
-    this.#silenceTimer?.cancel();
-    this.#silenceTimer = this.#deps.clock.after(SILENCE_MS, () => {
-      this.#deps.log.info({ replica: watched.address, ms: SILENCE_MS }, "control silent");
+    this.#heartbeatTimer?.cancel();
+    this.#heartbeatTimer = this.#deps.clock.after(HEARTBEAT_TIMEOUT_MS, () => {
+      this.#deps.log.info(
+        { replica: handle.address, ms: HEARTBEAT_TIMEOUT_MS },
+        "no heartbeats from control replica",
+      );
       this.start();
     });
   }
 
-  #onEnd(watched: Watched, reason: string): void {
-    const { address: replica } = watched;
-    if (this.#opening.includes(watched)) {
-      this.#opening = this.#opening.filter((w) => w !== watched);
-      this.#deps.log.info({ replica, reason }, "replica not followed");
-    } else if (this.#current === watched) {
+  #onEnd(handle: WatchHandle, reason: string): void {
+    const { address: replica } = handle;
+    if (this.#opening.includes(handle)) {
+      this.#opening = this.#opening.filter((w) => w !== handle);
+      this.#deps.log.info({ replica, reason }, "watch of control replica ended before it opened");
+    } else if (this.#current === handle) {
       this.#current = undefined;
-      this.#silenceTimer?.cancel();
+      this.#heartbeatTimer?.cancel();
       this.#deps.log.info({ replica, reason }, "no longer following control");
-      this.#raceAfter(REOPEN_MS);
+      this.#scheduleStart(REOPEN_MS);
     }
   }
 
-  /** Ends every watch that is being opened. */
+  /** Closes all watches that are being opened. */
   #endRace(): void {
     this.#raceTimer?.cancel();
-    const losers = this.#opening;
+    const pending = this.#opening;
     this.#opening = [];
-    losers.forEach((w) => w.watch?.dispose());
+    pending.forEach((w) => w.watch?.dispose());
   }
 
-  #raceAfter(ms: number): void {
+  #scheduleStart(ms: number): void {
     this.#raceTimer?.cancel();
     if (!this.#stopped) {
       this.#raceTimer = this.#deps.clock.after(ms, () => {
