--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -7,7 +7,7 @@
 import { RumorQueue, type Distance } from "./RumorQueue.ts";
 import { sampleOf } from "./sampleOf.ts";
 import type { TargetTable } from "./TargetTable.ts";
-import type { VersionWatch } from "./VersionWatch.ts";
+import type { DocumentVersions } from "./DocumentVersions.ts";
 
 type Member = ProtoTypes["Member"];
 type GossipMessage = ProtoTypes["News"];
@@ -72,7 +72,7 @@
   readonly peers: MembershipPeers;
   /** Current addresses of members to join through, host:port. */
   readonly seeds: () => readonly string[];
-  readonly documents: VersionWatch;
+  readonly documents: DocumentVersions;
   readonly clock: Clock;
   /** Returns a number in [0, 1); seeded in tests. */
   readonly random: () => number;
