--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -298,7 +298,7 @@
     const fresh = new Set(merged.map((m) => m.sidecar_id));
     const old = members.filter((m) => !fresh.has(m.sidecar_id));
     const distance = this.#distanceOf(sender);
-    for (const { sidecar_id: id } of old.filter((m) => table.isKnown(m))) {
+    for (const { sidecar_id: id } of old.filter((m) => table.hasSameVersion(m))) {
       this.#rumors.noteKnown(id, distance);
     }
     this.#spread(merged);
@@ -306,7 +306,7 @@
       // The sender was declared dead but is alive: the rumor lets it refute that.
       this.#queueRumor(sender);
     }
-    const stale = old.filter((m) => !table.isKnown(m)).map((m) => m.sidecar_id);
+    const stale = old.filter((m) => !table.hasSameVersion(m)).map((m) => m.sidecar_id);
     return { fresh, stale };
   }
 
--- a/src/membership/TargetTable.ts
+++ b/src/membership/TargetTable.ts
@@ -215,7 +215,7 @@
   }
 
   /** Whether a received entry has the same version as the local one. */
-  isKnown(member: Member): boolean {
+  hasSameVersion(member: Member): boolean {
     const known = this.entry(member.sidecar_id);
     return known !== undefined && !isNewer(member, known) && !isNewer(known, member);
   }
