--- a/src/membership/LocalTargets.ts
+++ b/src/membership/LocalTargets.ts
@@ -3,7 +3,7 @@
 
 type Target = ProtoTypes["Target"];
 
-/** Maximum number of entries, unless more targets are live: if each restart brings a new id, one for each of the last restarts. */
+/** Number of entries above which former targets are dropped: room for one per restart, over this many restarts. */
 const MAX_ENTRIES = 64;
 
 /** What is known of one current or former target on this VM. */
@@ -16,7 +16,7 @@
   announcedAt: number;
   /** Sequence number of the newest announcement of this incarnation. */
   sequence: number;
-  /** `replaced`: another target uses its address now. `left`: it was withdrawn. */
+  /** `here`: live while it announces itself in time. `replaced`: another target uses its address. `left`: it was withdrawn. */
   state: "here" | "replaced" | "left";
   /** Announcements received since it was replaced or withdrawn. */
   repeats: number;
