--- a/src/membership/PeerClients.ts
+++ b/src/membership/PeerClients.ts
@@ -9,7 +9,7 @@
  */
 const IDLE_TIMEOUT_MS = 3000;
 
-/** Number of consecutive failed calls after which the connection is replaced. */
+/** Upper limit of the number of consecutive failed calls after which a connection is replaced; see {@link RenewedClient}. */
 const MAX_CONSECUTIVE_FAILURES = 4;
 
 const OPTIONS = { idleMs: IDLE_TIMEOUT_MS, mostFailures: MAX_CONSECUTIVE_FAILURES };
