--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -7,13 +7,16 @@
 import type { MembershipPeers } from "./MembershipPeers.ts";
 import type { PeerClients } from "./PeerClients.ts";
 
-/** Whole views take longer than membership updates: 2 MB at the two-year size, ms. */
+/** Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the two-year size. */
 const SYNC_TIMEOUT_MS = 2000;
 
-/** A document may need a new connection over a congested link; members are asked in a race, so none is waited for, ms. */
+/**
+ * Timeout for fetching a document, ms. A fetch may need a new connection over a congested link. The long timeout
+ * delays nothing, since members are asked in a race.
+ */
 const CONFIG_TIMEOUT_MS = 6000;
 
-/** {@link MembershipPeers} over datagrams, and gRPC for what is too large for one. */
+/** {@link MembershipPeers} over UDP datagrams, and over gRPC for messages too large for a datagram. */
 export class NetworkPeers implements MembershipPeers, IDisposable {
   readonly #clients: PeerClients;
   readonly #link: DatagramLink;
@@ -23,8 +26,8 @@
     this.#link = link;
   }
 
-  exchange(address: string, news: ProtoTypes["News"]): Promise<ProtoTypes["News"]> {
-    return this.#link.probe(address, news);
+  exchange(address: string, gossip: ProtoTypes["News"]): Promise<ProtoTypes["News"]> {
+    return this.#link.probe(address, gossip);
   }
 
   compare(address: string, digests: readonly number[]): Promise<ProtoTypes["News"]> {
--- /dev/null
+++ b/src/sidecar/config/WatchSupervisor.ts
@@ -0,0 +1,171 @@
+import type bunyan from "bunyan";
+import type { DocumentUpdate } from "../../common/document/DocumentUpdate.ts";
+import type { Clock } from "../../common/lifecycle/Clock.ts";
+import type { Timer } from "../../common/lifecycle/Timer.ts";
+import type { ControlWatch } from "./ControlWatch.ts";
+
+/** Time after which a watch that has not opened yet is raced by another one, ms. */
+const RACE_STAGGER_MS = 1000;
+
+/**
+ * Maximum number of watches that are being opened at the same time; the oldest is closed to start another. Each thus
+ * has 6 s to open: three round trips over a congested link.
+ */
+const MAX_OPENING = 6;
+
+/** Delay before another watch is started after the current one has ended, ms. */
+const REOPEN_MS = 200;
+
+/** Time without a heartbeat after which a watch is raced by another one, ms; replicas send one every second. */
+const HEARTBEAT_TIMEOUT_MS = 2500;
+
+/** The events of a watch. */
+type WatchEvents = Pick<
+  ConstructorParameters<typeof ControlWatch>[0],
+  "onUpdate" | "onHeartbeat" | "onEnd" | "onOpen"
+>;
+
+interface WatchSupervisorDeps {
+  /** Chooses a replica to follow, if possible one not in `avoid`; undefined if no replica is known. */
+  readonly choose: (avoid: ReadonlySet<string>) => string | undefined;
+  /** Opens a watch at a replica. */
+  readonly open: (address: string, events: WatchEvents) => Pick<ControlWatch, "dispose">;
+  /** Applies an update; `gap` if it is not based on the version in force. */
+  readonly apply: (update: DocumentUpdate) => "taken" | "stale" | "gap";
+  readonly clock: Clock;
+  readonly log: bunyan;
+}
+
+/** A watch that is open or being opened. */
+interface WatchHandle {
+  readonly address: string;
+  watch: Pick<ControlWatch, "dispose"> | undefined;
+}
+
+/**
+ * Keeps one watch of the configuration document open. Watches are raced like connections in RFC 8305: if one is slow to
+ * open, or receives no heartbeats, another is started in parallel, and the first to open is kept. If each were closed
+ * before the next is started, none would ever open over a link whose delay exceeds the timeout.
+ */
+export class WatchSupervisor {
+  readonly #deps: WatchSupervisorDeps;
+  /** The open watch; it may be silent. */
+  #current: WatchHandle | undefined;
+  #opening: readonly WatchHandle[] = [];
+  #raceTimer: Timer | undefined;
+  #heartbeatTimer: Timer | undefined;
+  #stopped = false;
+
+  constructor(deps: WatchSupervisorDeps) {
+    this.#deps = deps;
+  }
+
+  /** Addresses of the replicas whose watches are open or being opened. */
+  get addresses(): readonly string[] {
+    return [...(this.#current ? [this.#current] : []), ...this.#opening].map((w) => w.address);
+  }
+
+  /** Starts to open another watch; the current one, if any, is kept until another has opened. */
+  start(): void {
+    if (this.#stopped) {
+      return;
+    }
+    const address = this.#deps.choose(new Set(this.addresses));
+    if (address !== undefined) {
+      this.#openAt(address);
+    }
+    this.#scheduleStart(address === undefined ? REOPEN_MS : RACE_STAGGER_MS);
+  }
+
+  dispose(): void {
+    this.#stopped = true;
+    this.#heartbeatTimer?.cancel();
+    this.#endRace();
+    this.#current?.watch?.dispose();
+  }
+
+  #openAt(address: string): void {
+    const [oldest] = this.#opening;
+    if (this.#opening.length >= MAX_OPENING) {
+      oldest?.watch?.dispose();
+    }
+    const handle: WatchHandle = { address, watch: undefined };
+    this.#opening = [...this.#opening, handle];
+    handle.watch = this.#deps.open(address, {
+      onOpen: () => {
+        this.#onOpen(handle);
+      },
+      onUpdate: (update) => {
+        this.#onUpdate(handle, update);
+      },
+      onHeartbeat: () => {
+        this.#onHeartbeat(handle);
+      },
+      onEnd: (reason) => {
+        this.#onEnd(handle, reason);
+      },
+    });
+  }
+
+  #onOpen(handle: WatchHandle): void {
+    const previous = this.#current;
+    this.#current = handle;
+    this.#heartbeatTimer?.cancel();
+    this.#opening = this.#opening.filter((w) => w !== handle);
+    this.#endRace();
+    previous?.watch?.dispose();
+    this.#deps.log.info({ replica: handle.address }, "following control");
+  }
+
+  #onUpdate(handle: WatchHandle, update: DocumentUpdate): void {
+    if (this.#deps.apply(update) === "gap") {
+      // The watch opened next begins with the missing updates.
+      handle.watch?.dispose();
+    }
+  }
+
+  #onHeartbeat(handle: WatchHandle): void {
+    if (handle !== this.#current) {
+      return;
+    }
+    this.#endRace();
+    this.#heartbeatTimer?.cancel();
+    this.#heartbeatTimer = this.#deps.clock.after(HEARTBEAT_TIMEOUT_MS, () => {
+      this.#deps.log.info(
+        { replica: handle.address, ms: HEARTBEAT_TIMEOUT_MS },
+        "no heartbeats from control replica",
+      );
+      this.start();
+    });
+  }
+
+  #onEnd(handle: WatchHandle, reason: string): void {
+    const { address: replica } = handle;
+    if (this.#opening.includes(handle)) {
+      this.#opening = this.#opening.filter((w) => w !== handle);
+      this.#deps.log.info({ replica, reason }, "watch of control replica ended before it opened");
+    } else if (this.#current === handle) {
+      this.#current = undefined;
+      this.#heartbeatTimer?.cancel();
+      this.#deps.log.info({ replica, reason }, "no longer following control");
+      this.#scheduleStart(REOPEN_MS);
+    }
+  }
+
+  /** Closes all watches that are being opened. */
+  #endRace(): void {
+    this.#raceTimer?.cancel();
+    const pending = this.#opening;
+    this.#opening = [];
+    pending.forEach((w) => w.watch?.dispose());
+  }
+
+  #scheduleStart(ms: number): void {
+    this.#raceTimer?.cancel();
+    if (!this.#stopped) {
+      this.#raceTimer = this.#deps.clock.after(ms, () => {
+        this.start();
+      });
+    }
+  }
+}
