--- a/src/control/log/ReplicatedLog.ts
+++ b/src/control/log/ReplicatedLog.ts
@@ -6,31 +6,31 @@
 import type { ReplicaStore, StoredReplica } from "./ReplicaStore.ts";
 import type { Voter } from "./Voter.ts";
 
-/** Entries after which the log is compacted, whatever the file's size: a start then reads at most these. */
+/** Number of entries after which the log is compacted, whatever the file's size; limits how many a start has to read. */
 const COMPACT_ENTRIES = 1024;
 
-/** Index and term of the snapshot of a replica that has been told nothing: no leader's log joins on to it. */
-const BLANK_INDEX = -1;
+/** Index and term of the snapshot of a replica without any state: no leader's log can continue from it. */
+const EMPTY_INDEX = -1;
 
 /**
  * A replica's durable term, vote and log. Every change is on disk when the method
- * that makes it returns; one that throws has changed nothing.
+ * that makes it returns; a method that throws has changed nothing.
  */
 export class ReplicatedLog {
   readonly #store: ReplicaStore;
   #state: StoredReplica;
-  #newest: NewestGroup;
+  #latestGroup: LatestGroup;
 
   /**
-   * @param store the replica's disk
-   * @param first what to start from on an empty disk: the first control group, or
-   *   none for a replica that is to learn everything from a leader
+   * @param store the replica's durable storage
+   * @param initial id and voters to start with on an empty disk; the voters are the first
+   *   control group, or empty for a replica that is to receive its state from a leader
    */
-  constructor(store: ReplicaStore, first: () => { id: ReplicaId; voters: readonly Voter[] }) {
+  constructor(store: ReplicaStore, initial: () => { id: ReplicaId; voters: readonly Voter[] }) {
     this.#store = store;
-    this.#state = store.load() ?? emptyReplica(first());
-    this.#newest = newestGroup(this.#state);
-    // Written afresh at each start: a torn last line is gone before anything follows it.
+    this.#state = store.load() ?? initialState(initial());
+    this.#latestGroup = latestGroup(this.#state);
+    // Rewritten at each start, so that no record is appended after a torn last line.
     store.replace(this.#state);
   }
 
@@ -50,7 +50,7 @@
     return this.#state.snapshot;
   }
 
-  /** Index of the newest entry. */
+  /** Index of the last entry. */
   get lastIndex(): number {
     return this.#state.entries.at(-1)?.index ?? this.#state.snapshot.index;
   }
@@ -59,50 +59,52 @@
     return this.#state.entries.at(-1)?.term ?? this.#state.snapshot.term;
   }
 
-  /** The control group by the newest entry that says so, committed or not. */
+  /** The control group of the latest entry that sets one, committed or not. */
   get group(): ControlGroup {
-    return this.#newest.group;
+    return this.#latestGroup.group;
   }
 
-  /** Index of the entry that {@link group} comes from. */
+  /** Index of the entry that set {@link group}. */
   get groupIndex(): number {
-    return this.#newest.index;
+    return this.#latestGroup.index;
   }
 
-  /** Term of the entry at `index`; undefined when it is not held (any more). */
+  /** Term of the entry at `index`; undefined if it is not in the log or was compacted away. */
   termAt(index: number): number | undefined {
     const { snapshot } = this.#state;
     return index === snapshot.index ? snapshot.term : this.#entryAt(index)?.term;
   }
 
-  /** Held entries after `index`, oldest first. */
-  after(index: number): readonly LogEntry[] {
+  /** Entries after `index` that are still in the log, oldest first. */
+  entriesAfter(index: number): readonly LogEntry[] {
     const { entries, snapshot } = this.#state;
     return entries.slice(Math.max(0, index - snapshot.index));
   }
 
-  /** Enters a later term, in which it has voted for `votedFor`, or for nobody yet. */
+  /** Enters a later term, or records the vote in this one; `votedFor` is empty for no vote yet. */
   enterTerm(term: number, votedFor: ReplicaId | "" = ""): void {
     this.#store.append({ kind: "term", term, votedFor });
     this.#state = { ...this.#state, term, votedFor };
   }
 
-  /** Puts `entries` after the one at `after`, in place of what stood there. */
+  /** Appends `entries` after index `after`, replacing any that follow it. */
   append(after: number, entries: readonly LogEntry[]): void {
     this.#store.append({ kind: "entries", after, entries });
     const kept = this.#state.entries.slice(0, Math.max(0, after - this.#state.snapshot.index));
     this.#state = { ...this.#state, entries: [...kept, ...entries] };
-    this.#newest = newestGroup(this.#state);
+    this.#latestGroup = latestGroup(this.#state);
   }
 
-  /** Takes a leader's snapshot in place of all that is here. */
+  /** Replaces the snapshot and all entries with a leader's snapshot. */
   install(snapshot: LogSnapshot): void {
     this.#replace({ ...this.#state, snapshot, entries: [] });
   }
 
   /**
-   * Drops the entries up to `index` for `committed`, the state that they have come
-   * to, when there are enough of them to be worth it.
+   * Replaces the entries up to `index` with a snapshot of the state that they lead to,
+   * once the entries or the stored data have grown large enough.
+   *
+   * @param committed returns the state after the entry at `index`
    */
   compact(index: number, committed: () => LogSnapshot["config"]): void {
     const { snapshot, entries } = this.#state;
@@ -110,7 +112,7 @@
       return;
     }
     const term = this.termAt(index) ?? snapshot.term;
-    const { group } = newestGroup({ snapshot, entries: entries.filter((e) => e.index <= index) });
+    const { group } = latestGroup({ snapshot, entries: entries.filter((e) => e.index <= index) });
     this.#replace({
       ...this.#state,
       snapshot: { index, term, group, config: committed() },
@@ -121,7 +123,7 @@
   #replace(state: StoredReplica): void {
     this.#store.replace(state);
     this.#state = state;
-    this.#newest = newestGroup(state);
+    this.#latestGroup = latestGroup(state);
   }
 
   #entryAt(index: number): LogEntry | undefined {
@@ -129,13 +131,13 @@
   }
 }
 
-/** The control group, and the entry that it comes from. */
-interface NewestGroup {
+/** The latest control group and the index of the entry that set it. */
+interface LatestGroup {
   readonly index: number;
   readonly group: ControlGroup;
 }
 
-function newestGroup(from: Pick<StoredReplica, "snapshot" | "entries">): NewestGroup {
+function latestGroup(from: Pick<StoredReplica, "snapshot" | "entries">): LatestGroup {
   for (const { index, body } of from.entries.toReversed()) {
     if (body.kind === "group") {
       return { index, group: body.group };
@@ -144,14 +146,14 @@
   return from.snapshot;
 }
 
-function emptyReplica(first: { id: ReplicaId; voters: readonly Voter[] }): StoredReplica {
-  const index = first.voters.length > 0 ? 0 : BLANK_INDEX;
+function initialState(initial: { id: ReplicaId; voters: readonly Voter[] }): StoredReplica {
+  const index = initial.voters.length > 0 ? 0 : EMPTY_INDEX;
   const config = new ConfigState().snapshot();
   return {
-    id: first.id,
+    id: initial.id,
     term: 0,
     votedFor: "",
-    snapshot: { index, term: index, group: { voters: first.voters }, config },
+    snapshot: { index, term: index, group: { voters: initial.voters }, config },
     entries: [],
   };
 }
--- a/src/control/replica/PeerProgress.ts
+++ b/src/control/replica/PeerProgress.ts
@@ -82,10 +82,10 @@
     const from = this.#next ?? log.lastIndex;
     const prevTerm = log.termAt(from);
     if (prevTerm === undefined) {
-      const entries = log.after(snapshot.index).slice(0, ENTRIES_PER_MESSAGE);
+      const entries = log.entriesAfter(snapshot.index).slice(0, ENTRIES_PER_MESSAGE);
       return { snapshot, prevIndex: snapshot.index, prevTerm: snapshot.term, entries };
     }
-    const entries = log.after(from).slice(0, ENTRIES_PER_MESSAGE);
+    const entries = log.entriesAfter(from).slice(0, ENTRIES_PER_MESSAGE);
     return { prevIndex: from, prevTerm, entries };
   }
 
--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -495,7 +495,7 @@
     if (index <= this.#committed) {
       return;
     }
-    const fresh = this.#log.after(this.#committed).filter((e) => e.index <= index);
+    const fresh = this.#log.entriesAfter(this.#committed).filter((e) => e.index <= index);
     this.#committed = index;
     fresh.forEach((e) => {
       this.#apply(e);
