--- a/src/control/log/FileReplicaStore.ts
+++ b/src/control/log/FileReplicaStore.ts
@@ -2,21 +2,21 @@
 import { RecordFile } from "../../common/storage/RecordFile.ts";
 import type { ReplicaStore, StoreRecord, StoredReplica } from "./ReplicaStore.ts";
 
-/** The file under the data folder. */
-const FILE = "replica.log";
+/** Name of the file in the data directory. */
+const FILE_NAME = "replica.log";
 
-/** A file longer than this is written afresh, bytes: some hundred changes, or one document with 10,000 routes. */
+/** File size above which the file is compacted, bytes: some hundred changes, or one document with 10,000 routes. */
 const COMPACT_BYTES = 2 * 1024 * 1024;
 
-type Line = { readonly kind: "all"; readonly state: StoredReplica } | StoreRecord;
+type StoredLine = { readonly kind: "all"; readonly state: StoredReplica } | StoreRecord;
 
-/** A replica's state in one file: first all of it, then what came later, each line synced. */
+/** Stores a replica's state in one file: the full state on the first line, then one synced line per later record. */
 export class FileReplicaStore implements ReplicaStore {
-  readonly #file: RecordFile<Line>;
+  readonly #file: RecordFile<StoredLine>;
 
-  /** `dir` is the replica's data folder. */
+  /** @param dir the replica's data directory */
   constructor(dir: string) {
-    this.#file = new RecordFile(join(dir, FILE));
+    this.#file = new RecordFile(join(dir, FILE_NAME));
   }
 
   get wantsCompaction(): boolean {
@@ -26,7 +26,7 @@
   load(): StoredReplica | undefined {
     let state: StoredReplica | undefined;
     for (const line of this.#file.read()) {
-      state = line.kind === "all" ? line.state : state && takeIn(state, line);
+      state = line.kind === "all" ? line.state : state && applyRecord(state, line);
     }
     return state;
   }
@@ -40,7 +40,7 @@
   }
 }
 
-function takeIn(state: StoredReplica, record: StoreRecord): StoredReplica {
+function applyRecord(state: StoredReplica, record: StoreRecord): StoredReplica {
   switch (record.kind) {
     case "term":
       return { ...state, term: record.term, votedFor: record.votedFor };
