--- a/src/control/log/AcceptedChange.ts
+++ b/src/control/log/AcceptedChange.ts
@@ -1,10 +1,10 @@
 import type { DocumentEdit } from "../../common/document/DocumentEdit.ts";
 
-/** A change of the document that the replicas have agreed on, or are asked to. */
+/** A change to the configuration document, proposed to the replicas or committed by them. */
 export interface AcceptedChange {
-  /** The version that the document has with it; given by the operator, above the one before. */
+  /** Document version after the change; chosen by the operator, greater than the previous version. */
   readonly version: number;
-  /** Of the operator's order, to know it again when it is sent once more. */
+  /** Id of the operator's change request, by which a resend is recognized. */
   readonly orderId: string;
   readonly edit: DocumentEdit;
 }
--- a/src/control/log/ConfigSnapshot.ts
+++ b/src/control/log/ConfigSnapshot.ts
@@ -1,9 +1,9 @@
 import type { OperatorDocument } from "../../common/document/OperatorDocument.ts";
 
-/** The document as of one entry of the log, with what is remembered of the orders that made it. */
+/** The document as of one log entry, with the most recently accepted change requests. */
 export interface ConfigSnapshot {
   readonly version: number;
   readonly document: OperatorDocument;
-  /** Accepted orders and the versions that they became, oldest first. */
+  /** Ids of accepted change requests and the versions that they created, oldest first. */
   readonly accepted: readonly (readonly [orderId: string, version: number])[];
 }
--- a/src/control/log/ConfigState.ts
+++ b/src/control/log/ConfigState.ts
@@ -4,13 +4,13 @@
 import type { ConfigSnapshot } from "./ConfigSnapshot.ts";
 
 /**
- * Accepted orders remembered, so that a resend of one is acknowledged again and
- * not refused. A day of the two-year size has 31,000 changes; operators' tools
- * send again within seconds, so the last few thousand are hours' worth.
+ * Number of accepted change requests that are remembered, so that a resend is acknowledged
+ * again and not refused. At the size planned for two years from now, 31,000 changes are
+ * made a day, so 4096 cover about three hours; operators' tools resend within seconds.
  */
-const REMEMBERED_ORDERS = 4096;
+const MAX_REMEMBERED_REQUESTS = 4096;
 
-/** The state machine over the replicated log: the document in force, and which orders led to it. */
+/** The state machine of the replicated log: the current document and the recently accepted change requests. */
 export class ConfigState {
   readonly history = new DocumentHistory();
   readonly #accepted: Map<string, number>;
@@ -22,7 +22,7 @@
     }
   }
 
-  /** Version in force; 0 before any. */
+  /** Current document version; 0 before the first change. */
   get version(): number {
     return this.history.version;
   }
@@ -31,22 +31,22 @@
     return this.history.document;
   }
 
-  /** The version that an accepted order became, while it is remembered. */
+  /** The version that an accepted change request created; undefined for one that is not remembered. */
   versionOf(orderId: string): number | undefined {
     return this.#accepted.get(orderId);
   }
 
-  /** Takes in the next committed change. */
+  /** Applies the next committed change. */
   apply({ version, orderId, edit }: AcceptedChange): void {
     this.history.take({ kind: "edit", base: this.version, version, edit });
     this.#accepted.set(orderId, version);
     const [oldest] = this.#accepted.keys();
-    if (this.#accepted.size > REMEMBERED_ORDERS && oldest !== undefined) {
+    if (this.#accepted.size > MAX_REMEMBERED_REQUESTS && oldest !== undefined) {
       this.#accepted.delete(oldest);
     }
   }
 
-  /** The state as it stands, for a snapshot. */
+  /** The current state, for a snapshot of the log. */
   snapshot(): ConfigSnapshot {
     return { version: this.version, document: this.document, accepted: [...this.#accepted] };
   }
