--- a/src/control/log/ControlGroup.ts
+++ b/src/control/log/ControlGroup.ts
@@ -1,14 +1,15 @@
 import type { Voter } from "./Voter.ts";
 
 /**
- * The replicas whose word counts. While the group changes it has two halves, the
- * old and the next, and everything needs a majority of each (joint consensus;
- * Ongaro and Ousterhout 2014, section 6). Changing one replica at a time is simpler,
- * but has to either add the newcomer before or remove the lost one first, and with
- * two machines lost at once both orders can leave too few (the model's seeds 98 and 16).
+ * The replicas that vote. During a membership change there are two sets of voters, the
+ * old and the next, and elections and commits need a majority of each (joint consensus;
+ * Ongaro and Ousterhout 2014, section 6). Changing one replica at a time is simpler, but
+ * requires either adding the new replica first or removing the lost one first. When two
+ * machines are lost at once, either sequence can leave too few voters for a majority:
+ * seeds 98 and 16 of the replica model showed both cases.
  */
 export interface ControlGroup {
   readonly voters: readonly Voter[];
-  /** The group that is to follow, while it changes. */
+  /** The voters after the change; set only during a membership change. */
   readonly next?: readonly Voter[];
 }
--- a/src/control/log/LogSnapshot.ts
+++ b/src/control/log/LogSnapshot.ts
@@ -1,9 +1,9 @@
 import type { ConfigSnapshot } from "./ConfigSnapshot.ts";
 import type { ControlGroup } from "./ControlGroup.ts";
 
-/** All that the log up to one committed entry has come to; the entries themselves are dropped. */
+/** The state after a committed log entry; it replaces that entry and all earlier ones. */
 export interface LogSnapshot {
-  /** Index of that entry; -1 for a replica that has never been told anything. */
+  /** Index of that entry; -1 for a replica that has never received any state. */
   readonly index: number;
   readonly term: number;
   readonly group: ControlGroup;
--- a/src/control/log/Voter.ts
+++ b/src/control/log/Voter.ts
@@ -3,8 +3,8 @@
 /** A replica as a member of the control group. */
 export interface Voter {
   readonly id: ReplicaId;
-  /** Where other replicas reach it, host:port. */
+  /** Address for other replicas, host:port. */
   readonly address: string;
-  /** Its availability zone; empty while nobody has told. */
+  /** Availability zone; empty while unknown. */
   readonly zone: string;
 }
