--- a/src/control/replica/Election.ts
+++ b/src/control/replica/Election.ts
@@ -14,144 +14,150 @@
   readonly clock: Clock;
   /** In [0, 1). */
   readonly random: () => number;
-  /** Told of terms that others are in. */
+  /** Called with the term of every reply. */
   readonly noteTerm: (term: number) => void;
-  readonly won: () => void;
+  /** Called when this replica has won an election. */
+  readonly onElected: () => void;
   /** False while this replica leads. */
-  readonly mayStand: () => boolean;
-  /** Called whenever no leader was heard for an election timeout. */
-  readonly unled: () => void;
-  /** Enters a term with a vote for itself; false when the disk refuses. */
+  readonly canCampaign: () => boolean;
+  /** Called when no leader has been heard for an election timeout. */
+  readonly onElectionTimeout: () => void;
+  /** Enters a term with a vote for this replica; false if the disk write failed. */
   readonly enterTerm: (term: number) => boolean;
 }
 
 /**
- * A replica that has just started takes the group for one that starts as a whole, until it hears a
- * leader, for at most this long, ms: about two elections of the ordinary kind.
+ * How long a replica assumes after its start that the whole group is starting, unless it hears a
+ * leader, ms: about the duration of two ordinary elections.
  */
-const STARTING_MS = 3000;
+const GROUP_START_MS = 3000;
 
 /**
- * While the group starts, how long a replica waits before it asks the others for their votes, and
- * before it asks again, ms. An election takes a round trip and a sync for each of two rounds of votes,
- * 10 to 30 ms on machines that are busy starting; votes that are split are seldom split again.
+ * Election timeout while the whole group is starting, ms: `min` plus a random part of `spread`. Two
+ * rounds of votes, each a network round trip and a disk sync, take 10 to 30 ms on machines that are
+ * busy starting. A split vote is retried after another such timeout and is seldom split again.
  */
-const STARTING_WAIT_MS = { least: 40, more: 160 };
+const GROUP_START_TIMEOUT_MS = { min: 40, spread: 160 };
 
 /**
- * When and how a replica stands for election: after a random time without a
- * leader it first asks whether it would be elected, and only if so enters a new
- * term. A replica that is cut off therefore does not raise its term for nothing.
+ * Starts and runs a replica's elections. After a random time without a leader, the replica
+ * asks the others in a pre-vote whether it would be elected, and enters a new term only if
+ * a majority agrees. A replica that is cut off therefore does not keep raising its term.
  *
- * A replica that has just started asks much sooner. Where the others were not restarted,
- * they hear a leader and refuse. Where all were killed at once, nobody does, and sidecars
- * that have lost their document wait for a leader. Five replicas of the model, 20 seeds:
- * led 1,040 ms after they were back with the ordinary wait, 95 ms with this one.
+ * A replica that has just started uses a much shorter timeout. If the others were not
+ * restarted, they still hear a leader and refuse. If all were killed at once, none of them
+ * hears a leader, and sidecars that have lost their document wait until there is one. In
+ * the replica model, with five replicas and 20 seeds, a leader was elected on average
+ * 1,040 ms after the restart with the ordinary timeout and 95 ms with the short one.
  */
 export class Election implements IDisposable {
   readonly #deps: ElectionDeps;
-  #dueAt = Infinity;
-  #startingUntil = -Infinity;
-  #abstainsUntil = -Infinity;
+  #electionDueAt = Infinity;
+  #groupStartUntil = -Infinity;
+  #abstainUntil = -Infinity;
   #timer: Timer | undefined;
-  /** Rises with each poll and each step down, so that late votes count for nothing. */
+  /** Incremented by each round of votes and each cancellation, so that late votes are ignored. */
   #round = 0;
-  #underWay = false;
+  #isCampaigning = false;
 
   constructor(deps: ElectionDeps) {
     this.#deps = deps;
   }
 
-  /** Starts waiting for its time. */
+  /** Starts the election timeout. */
   start(): void {
-    this.#startingUntil = this.#deps.clock.now() + STARTING_MS;
-    this.defer();
-    this.#arm();
+    this.#groupStartUntil = this.#deps.clock.now() + GROUP_START_MS;
+    this.postpone();
+    this.#scheduleCheck();
   }
 
-  /** True while votes are being gathered. */
-  get underWay(): boolean {
-    return this.#underWay;
+  /** True while votes are being collected. */
+  get isCampaigning(): boolean {
+    return this.#isCampaigning;
   }
 
-  /** Puts the next attempt off: a vote was given, or this replica has led. */
-  defer(): void {
+  /** Restarts the election timeout, after this replica granted a vote or stopped leading. */
+  postpone(): void {
     const { clock, random } = this.#deps;
-    const { least, more } = this.#wait;
-    this.#dueAt = Math.max(clock.now() + least + random() * more, this.#abstainsUntil);
+    const { min, spread } = this.#timeout;
+    this.#electionDueAt = Math.max(clock.now() + min + random() * spread, this.#abstainUntil);
   }
 
-  /** A leader was heard: the group does not start as a whole, or not any more. */
+  /** Notes a message from a leader: the group has finished starting, or was not restarted as a whole. */
   noteLeader(): void {
-    this.#startingUntil = -Infinity;
-    this.defer();
+    this.#groupStartUntil = -Infinity;
+    this.postpone();
   }
 
-  /** Does not stand for `ms`: this replica would make a poor leader for now. */
+  /** Starts no election for `ms`, because this replica is currently unfit to lead. */
   abstain(ms: number): void {
-    this.#abstainsUntil = this.#deps.clock.now() + ms;
-    this.defer();
+    this.#abstainUntil = this.#deps.clock.now() + ms;
+    this.postpone();
   }
 
-  /** Counts votes on their way no more. */
-  giveUp(): void {
+  /** Abandons the current election and ignores votes that still arrive. */
+  cancel(): void {
     this.#round += 1;
-    this.#underWay = false;
+    this.#isCampaigning = false;
   }
 
-  /** Stands for election; `handover` when the leader itself asked for it. */
+  /** Starts an election; `handover` if the leader itself requested it, which skips the pre-vote. */
   campaign(handover = false): void {
-    const { log, mayStand } = this.#deps;
-    if (!mayStand() || !membersOf(log.group).some((v) => v.id === log.id)) {
+    const { log, canCampaign } = this.#deps;
+    if (!canCampaign() || !membersOf(log.group).some((v) => v.id === log.id)) {
       return;
     }
     const term = log.term + 1;
     if (handover) {
-      this.#stand(term, true);
+      this.#startElection(term, true);
       return;
     }
-    this.#poll(term, { pre: true, handover }, () => {
-      this.#stand(term, false);
+    this.#requestVotes(term, { pre: true, handover }, () => {
+      this.#startElection(term, false);
     });
   }
 
   dispose(): void {
-    this.giveUp();
+    this.cancel();
     this.#timer?.cancel();
   }
 
-  get #wait(): { least: number; more: number } {
+  get #timeout(): { min: number; spread: number } {
     const { timing, clock } = this.#deps;
     const { electionMinMs, electionMaxMs } = timing;
-    return clock.now() < this.#startingUntil
-      ? STARTING_WAIT_MS
-      : { least: electionMinMs, more: electionMaxMs - electionMinMs };
+    return clock.now() < this.#groupStartUntil
+      ? GROUP_START_TIMEOUT_MS
+      : { min: electionMinMs, spread: electionMaxMs - electionMinMs };
   }
 
-  #stand(term: number, handover: boolean): void {
+  #startElection(term: number, handover: boolean): void {
     if (this.#deps.log.term >= term || !this.#deps.enterTerm(term)) {
-      this.giveUp();
+      this.cancel();
       return;
     }
-    this.#poll(term, { pre: false, handover }, () => {
-      this.#underWay = false;
-      this.#startingUntil = -Infinity;
-      this.#deps.won();
+    this.#requestVotes(term, { pre: false, handover }, () => {
+      this.#isCampaigning = false;
+      this.#groupStartUntil = -Infinity;
+      this.#deps.onElected();
     });
   }
 
-  /** Asks the others to vote, and calls `elected` once a majority, this replica included, is for it. */
-  #poll(term: number, how: { pre: boolean; handover: boolean }, elected: () => void): void {
+  /** Requests votes from the other voters; calls `onMajority` once a majority, this replica included, has granted them. */
+  #requestVotes(
+    term: number,
+    options: { pre: boolean; handover: boolean },
+    onMajority: () => void,
+  ): void {
     const { log, link } = this.#deps;
-    this.giveUp();
-    this.#underWay = true;
+    this.cancel();
+    this.#isCampaigning = true;
     const round = this.#round;
     const { id, lastIndex, lastTerm, group } = log;
     const votes = new Set([id]);
-    const count = () => {
+    const checkMajority = () => {
       if (quorumValue(group, (v) => Number(votes.has(v.id))) === 1) {
         this.#round += 1;
-        elected();
+        onMajority();
       }
     };
     for (const voter of membersOf(group).filter((v) => v.id !== id)) {
@@ -162,7 +168,7 @@
         term,
         lastIndex,
         lastTerm,
-        ...how,
+        ...options,
       } as const;
       link.send(voter.address, req, (reply) => {
         if (reply.kind !== "vote" || this.#round !== round) {
@@ -171,23 +177,23 @@
         this.#deps.noteTerm(reply.term);
         if (reply.granted && this.#round === round) {
           votes.add(voter.id);
-          count();
+          checkMajority();
         }
       });
     }
-    count();
+    checkMajority();
   }
 
-  /** One timer that looks when it is due: heartbeats only move the time, not the timer. */
-  #arm(): void {
-    const wait = Math.max(0, this.#dueAt - this.#deps.clock.now());
+  /** Sets the only timer; heartbeats move `#electionDueAt`, which the timer compares when it fires. */
+  #scheduleCheck(): void {
+    const wait = Math.max(0, this.#electionDueAt - this.#deps.clock.now());
     this.#timer = this.#deps.clock.after(wait, () => {
-      if (this.#deps.clock.now() >= this.#dueAt) {
-        this.defer();
-        this.#deps.unled();
+      if (this.#deps.clock.now() >= this.#electionDueAt) {
+        this.postpone();
+        this.#deps.onElectionTimeout();
         this.campaign();
       }
-      this.#arm();
+      this.#scheduleCheck();
     });
   }
 }
--- a/src/control/replica/LeaderTerm.ts
+++ b/src/control/replica/LeaderTerm.ts
@@ -16,8 +16,9 @@
 
 interface LeaderTermDeps {
   readonly self: Voter;
-  /** Where operators reach this replica. */
+  /** Address of this replica's API for operators. */
   readonly api: string;
+  /** Number of voters needed for the configured fault tolerance. */
   readonly wantedVoters: number;
   readonly log: ReplicatedLog;
   readonly link: ReplicaLink;
@@ -25,29 +26,30 @@
   readonly clock: Clock;
   readonly logger: bunyan;
   /** Index up to which entries are committed. */
-  readonly committed: () => number;
+  readonly commitIndex: () => number;
+  /** Commits the entries up to `index`. */
   readonly commit: (index: number) => void;
-  /** Told of terms that others are in. */
+  /** Called with the term of every reply. */
   readonly noteTerm: (term: number) => void;
-  /** Told that the group has changed and left this replica out. */
-  readonly retire: () => void;
-  /** Told that this replica does not lead any more. */
-  readonly lost: (reason: string) => void;
-  /** Runs a write to the disk; false when it was refused. */
-  readonly durably: (write: () => void) => boolean;
+  /** Called when a committed change of the group has removed this replica. */
+  readonly onExcluded: () => void;
+  /** Called when this replica has to stop leading. */
+  readonly onLeadershipLost: (reason: string) => void;
+  /** Runs a disk write; false if it failed. */
+  readonly tryWrite: (write: () => void) => boolean;
 }
 
-/** A learner that has not asked again for this long is forgotten, ms; it asks several times a second. */
+/** A learner whose last join request is older than this is dropped, ms; learners send several a second. */
 const LEARNER_TTL_MS = 3000;
 
-/** What a leader does while it leads: replication, leases, and changes of the control group. */
+/** A leader's work during one term: replication, the lease, and changes of the control group. */
 export class LeaderTerm implements IDisposable {
   readonly #deps: LeaderTermDeps;
   readonly #startedAt: number;
   readonly #peers = new Map<ReplicaId, PeerProgress>();
-  readonly #learners = new Map<ReplicaId, { replica: Voter; askedAt: number }>();
+  readonly #learners = new Map<ReplicaId, { replica: Voter; requestedAt: number }>();
   readonly #waiters = new Set<() => void>();
-  /** Index of this leader's first entry: until it is committed, older ones may not all be known as such. */
+  /** Index of this leader's first entry; until it is committed, earlier entries may be committed without the leader knowing. */
   #firstIndex = Infinity;
   #timer: Timer | undefined;
   #ended = false;
@@ -57,56 +59,56 @@
     this.#startedAt = deps.clock.now();
   }
 
-  /** Makes the first entry and the first heartbeat. */
+  /** Appends the first entry of the term and sends the first heartbeat. */
   start(): void {
     this.#firstIndex = this.#deps.log.lastIndex + 1;
     this.append({ kind: "term-start" });
-    this.#beat();
+    this.#sendHeartbeat();
   }
 
   dispose(): void {
     this.#ended = true;
     this.#timer?.cancel();
-    this.#wake();
+    this.#notifyWaiters();
   }
 
-  /** True while a quorum has acknowledged a message sent within the lease, and everything older is known to be committed. */
-  holdsLease(committed: number): boolean {
+  /** True while a quorum has acknowledged a message sent within the lease and all entries of earlier terms are committed. */
+  holdsLease(commitIndex: number): boolean {
     const { clock, timing } = this.#deps;
-    return committed >= this.#firstIndex && this.#quorumHeardAt() + timing.leaseMs > clock.now();
+    return commitIndex >= this.#firstIndex && this.#quorumAckedAt() + timing.leaseMs > clock.now();
   }
 
-  /** Appends an entry and sends it out; its index, or undefined when the disk refused it. */
+  /** Appends an entry and replicates it; returns its index, or undefined if the disk write failed. */
   append(body: EntryBody): number | undefined {
-    const { log, durably } = this.#deps;
+    const { log, tryWrite } = this.#deps;
     const { lastIndex, term } = log;
     const entry = { index: lastIndex + 1, term, body };
     if (
       this.#ended ||
-      !durably(() => {
+      !tryWrite(() => {
         log.append(lastIndex, [entry]);
       })
     ) {
       return undefined;
     }
     this.#replicateAll();
-    this.#advance();
+    this.#advanceCommitIndex();
     return entry.index;
   }
 
-  /** Resolves true once `index` is committed; false when that takes too long or leadership is lost. */
-  committed(index: number): Promise<boolean> {
-    return this.#until(() => this.#deps.committed() >= index);
+  /** Resolves to true once `index` is committed, or to false on a timeout or a loss of leadership. */
+  waitForCommit(index: number): Promise<boolean> {
+    return this.#waitFor(() => this.#deps.commitIndex() >= index);
   }
 
-  /** Resolves true once a quorum has acknowledged a message sent after this call. */
-  confirm(): Promise<boolean> {
+  /** Resolves to true once a quorum has acknowledged a message sent after this call. */
+  confirmLeadership(): Promise<boolean> {
     const calledAt = this.#deps.clock.now();
     this.#replicateAll();
-    return this.#until(() => this.#quorumHeardAt() >= calledAt);
+    return this.#waitFor(() => this.#quorumAckedAt() >= calledAt);
   }
 
-  /** A replica outside the group asks to be let in: it is sent the log, and counted once it has it. */
+  /** Handles a join request from a replica outside the group: it is sent the log, and may become a voter once it has caught up. */
   noteLearner(replica: Voter): void {
     const { log, clock, logger } = this.#deps;
     const members = membersOf(log.group);
@@ -116,41 +118,41 @@
     if (!this.#learners.has(replica.id)) {
       logger.info({ replica }, "replica requests to join the group");
     }
-    this.#learners.set(replica.id, { replica, askedAt: clock.now() });
+    this.#learners.set(replica.id, { replica, requestedAt: clock.now() });
     for (const voter of members) {
       if (voter.address === replica.address) {
-        this.#progress(voter).noteGone();
+        this.#progress(voter).noteDiskLost();
       }
     }
     this.#replicate(replica);
   }
 
-  /** The voter that holds the most of the log, to take over. */
-  mostAdvanced(): Voter | undefined {
+  /** The other voter with the most complete log, to which leadership can be transferred. */
+  mostUpToDate(): Voter | undefined {
     return this.#others()
-      .filter((v) => !this.#progress(v).isGone)
+      .filter((v) => !this.#progress(v).isDiskLost)
       .toSorted((a, b) => this.#progress(b).matched - this.#progress(a).matched)[0];
   }
 
-  #beat(): void {
-    const { clock, timing, lost } = this.#deps;
-    if (clock.now() - this.#quorumHeardAt() > timing.electionMaxMs) {
-      // Heartbeats may still reach others one way while no answer comes back:
-      // unless it steps down, they would never elect a leader that can commit.
-      lost("no quorum in reach");
+  #sendHeartbeat(): void {
+    const { clock, timing, onLeadershipLost } = this.#deps;
+    if (clock.now() - this.#quorumAckedAt() > timing.electionMaxMs) {
+      // Heartbeats may still reach the other replicas while their replies are lost. Without
+      // a step-down, those replicas would never elect a leader that can commit entries.
+      onLeadershipLost("no replies from a quorum");
       return;
     }
     this.#replicateAll();
-    this.#reviseGroup();
+    this.#reconfigureGroup();
     if (!this.#ended) {
       this.#timer = clock.after(timing.heartbeatMs, () => {
-        this.#beat();
+        this.#sendHeartbeat();
       });
     }
   }
 
   #replicateAll(): void {
-    for (const replica of [...this.#others(), ...this.#freshLearners()]) {
+    for (const replica of [...this.#others(), ...this.#activeLearners()]) {
       this.#replicate(replica);
     }
   }
@@ -170,21 +172,21 @@
       term,
       leader: self,
       leaderApi: api,
-      committed: this.#deps.committed(),
-      ...progress.content(log),
+      committed: this.#deps.commitIndex(),
+      ...progress.nextContent(log),
     } as const;
     link.send(replica.address, req, (reply) => {
-      const again = progress.end(sequence);
+      const resend = progress.end(sequence);
       if (!this.#ended && log.term === term) {
-        this.#take(progress, reply, sentAt, again);
+        this.#handleReply(progress, reply, sentAt, resend);
       }
     });
   }
 
-  #take(progress: PeerProgress, reply: ReplicaReply, sentAt: number, again: boolean): void {
+  #handleReply(progress: PeerProgress, reply: ReplicaReply, sentAt: number, resend: boolean): void {
     const { log, noteTerm } = this.#deps;
     if (reply.kind === "stranger") {
-      progress.noteGone();
+      progress.noteDiskLost();
       return;
     }
     if (reply.kind !== "append") {
@@ -194,39 +196,39 @@
     if (this.#ended || reply.term !== log.term) {
       return;
     }
-    const moved = progress.note(reply, sentAt);
-    this.#advance();
-    if (again || (moved && progress.matched < log.lastIndex)) {
+    const progressed = progress.applyReply(reply, sentAt);
+    this.#advanceCommitIndex();
+    if (resend || (progressed && progress.matched < log.lastIndex)) {
       this.#replicate(progress.replica);
     }
   }
 
-  /** Commits what a majority of the group holds. */
-  #advance(): void {
-    const { log, committed, commit } = this.#deps;
-    const byMajority = quorumValue(log.group, (v) =>
+  /** Commits the entries that a majority of the group holds. */
+  #advanceCommitIndex(): void {
+    const { log, commitIndex, commit } = this.#deps;
+    const majorityIndex = quorumValue(log.group, (v) =>
       v.id === log.id ? log.lastIndex : this.#progress(v).matched,
     );
-    // Only an entry of its own term commits by count (the Raft paper's figure 8).
-    if (byMajority > committed() && log.termAt(byMajority) === log.term) {
-      commit(byMajority);
+    // Only entries of the leader's own term are committed by counting replicas (figure 8 of the Raft paper).
+    if (majorityIndex > commitIndex() && log.termAt(majorityIndex) === log.term) {
+      commit(majorityIndex);
       this.#replicateAll();
     }
-    this.#wake();
+    this.#notifyWaiters();
   }
 
-  /** When the last message that a majority acknowledged was sent, by our clock. */
-  #quorumHeardAt(): number {
+  /** Send time of the latest message that a majority has acknowledged, by this replica's clock, ms. */
+  #quorumAckedAt(): number {
     const { log, clock } = this.#deps;
     return quorumValue(log.group, (v) =>
       v.id === log.id ? clock.now() : this.#progress(v).ackedAt,
     );
   }
 
-  /** Proposes the next change of the group, if one is due and the one before is committed. */
-  #reviseGroup(): void {
-    const { log, wantedVoters, committed, logger } = this.#deps;
-    if (committed() < Math.max(log.groupIndex, this.#firstIndex)) {
+  /** Proposes the next change of the group, if one is needed and the previous one is committed. */
+  #reconfigureGroup(): void {
+    const { log, wantedVoters, commitIndex, logger } = this.#deps;
+    if (commitIndex() < Math.max(log.groupIndex, this.#firstIndex)) {
       return;
     }
     const { voters, next } = log.group;
@@ -235,33 +237,33 @@
       return;
     }
     if (!voters.some((v) => v.id === log.id)) {
-      // It led through the change that left it out; from here on the others decide.
-      this.#deps.retire();
+      // This replica led until the change that removes it was committed; the remaining voters elect a new leader.
+      this.#deps.onExcluded();
       return;
     }
-    const planned = planVoters(
+    const newVoters = planVoters(
       wantedVoters,
       voters.map((v) => this.#candidate(v)),
-      this.#freshLearners().map((l) => this.#candidate(l)),
+      this.#activeLearners().map((l) => this.#candidate(l)),
     );
-    if (planned) {
-      logger.info({ from: voters, to: planned }, "changing the control group");
-      this.append({ kind: "group", group: { voters, next: planned } });
+    if (newVoters) {
+      logger.info({ from: voters, to: newVoters }, "changing the control group");
+      this.append({ kind: "group", group: { voters, next: newVoters } });
     }
   }
 
   #candidate(replica: Voter): Candidate {
-    const { log, clock, timing, committed } = this.#deps;
+    const { log, clock, timing, commitIndex } = this.#deps;
     if (replica.id === log.id) {
-      return { replica, reachable: true, gone: false, caughtUp: true, silentMs: 0 };
+      return { replica, reachable: true, diskLost: false, caughtUp: true, silentMs: 0 };
     }
     const progress = this.#progress(replica);
     const silentMs = clock.now() - progress.ackedAt;
     return {
       replica,
       reachable: silentMs < timing.replaceAfterMs,
-      gone: progress.isGone,
-      caughtUp: progress.matched >= committed(),
+      diskLost: progress.isDiskLost,
+      caughtUp: progress.matched >= commitIndex(),
       silentMs,
     };
   }
@@ -270,11 +272,11 @@
     return membersOf(this.#deps.log.group).filter((v) => v.id !== this.#deps.log.id);
   }
 
-  #freshLearners(): Voter[] {
+  #activeLearners(): Voter[] {
     const { log, clock } = this.#deps;
     const members = new Set(membersOf(log.group).map((v) => v.id));
-    for (const [id, { askedAt }] of this.#learners) {
-      if (clock.now() - askedAt > LEARNER_TTL_MS || members.has(id)) {
+    for (const [id, { requestedAt }] of this.#learners) {
+      if (clock.now() - requestedAt > LEARNER_TTL_MS || members.has(id)) {
         this.#learners.delete(id);
       }
     }
@@ -290,31 +292,31 @@
     return progress;
   }
 
-  /** Resolves true once `reached` is, false when that takes too long or leadership is lost. */
-  #until(reached: () => boolean): Promise<boolean> {
+  /** Resolves to true once `condition()` is true, or to false on a timeout or a loss of leadership. */
+  #waitFor(condition: () => boolean): Promise<boolean> {
     const { clock, timing } = this.#deps;
     return new Promise((resolve) => {
       const settle = (done: boolean) => {
-        this.#waiters.delete(look);
+        this.#waiters.delete(check);
         timer.cancel();
         resolve(done);
       };
-      const look = () => {
-        if (this.#ended || reached()) {
-          settle(!this.#ended && reached());
+      const check = () => {
+        if (this.#ended || condition()) {
+          settle(!this.#ended && condition());
         }
       };
       const timer = clock.after(timing.proposeMs, () => {
         settle(false);
       });
-      this.#waiters.add(look);
-      look();
+      this.#waiters.add(check);
+      check();
     });
   }
 
-  #wake(): void {
-    for (const look of [...this.#waiters]) {
-      look();
+  #notifyWaiters(): void {
+    for (const check of [...this.#waiters]) {
+      check();
     }
   }
 }
--- a/src/control/replica/PeerProgress.ts
+++ b/src/control/replica/PeerProgress.ts
@@ -5,81 +5,81 @@
 type AppendReply = Extract<ReplicaReply, { kind: "append" }>;
 type Content = Pick<AppendRequest, "snapshot" | "prevIndex" | "prevTerm" | "entries">;
 
-/** Entries in one message, at most: a follower far behind catches up in several. */
+/** Maximum number of entries in a message; a follower that is far behind catches up in several messages. */
 const ENTRIES_PER_MESSAGE = 256;
 
-/** Index before that of every entry. */
-const NOTHING = -1;
+/** An index below that of every entry. */
+const NO_INDEX = -1;
 
-/** A message not answered within this long is taken as lost, ms; a sync of a slow disk takes 70. */
-const ANSWER_MS = 600;
+/** Time after which a message without a reply is considered lost, ms; a sync on a slow disk takes 70. */
+const REPLY_TIMEOUT_MS = 600;
 
-/** What a leader knows of one other replica, and what it sends it next. */
+/** A leader's replication state for one other replica, and the content of the next message to it. */
 export class PeerProgress {
   readonly replica: Voter;
-  #matched = NOTHING;
-  /** Where the next message joins on; undefined before the first, which tries the end of the log. */
-  #next: number | undefined;
+  #matched = NO_INDEX;
+  /** `prevIndex` of the next message; undefined before the first, which starts at the end of the log. */
+  #nextPrevIndex: number | undefined;
   #ackedAt: number;
   #sentAt = -Infinity;
-  #awaiting = 0;
-  #again = false;
+  #pendingSequence = 0;
+  #resendNeeded = false;
   #sequence = 0;
-  #isGone = false;
+  #isDiskLost = false;
 
-  /** @param now when the leader's term began, or the replica joined: it counts as heard then */
+  /** @param now initial {@link ackedAt}: when the leader's term began */
   constructor(replica: Voter, now: number) {
     this.replica = replica;
     this.#ackedAt = now;
   }
 
-  /** Index up to which it is known to hold the leader's log. */
+  /** Index up to which the replica is known to hold the leader's log. */
   get matched(): number {
     return this.#matched;
   }
 
-  /** When the last message that it acknowledged was sent, by the leader's clock, ms. */
+  /** Send time of the latest message that the replica acknowledged, by the leader's clock, ms. */
   get ackedAt(): number {
     return this.#ackedAt;
   }
 
-  /** Another disk has answered at its address: it will never be heard of again. */
-  get isGone(): boolean {
-    return this.#isGone;
+  /** True once a replica with another id has replied at the address: this one's disk is lost, and its id will not return. */
+  get isDiskLost(): boolean {
+    return this.#isDiskLost;
   }
 
-  noteGone(): void {
-    this.#isGone = true;
+  noteDiskLost(): void {
+    this.#isDiskLost = true;
   }
 
   /**
-   * Takes leave to send a message, one at a time; `undefined` while one is under
-   * way, which is then followed by another. The number names the message.
+   * Registers a message that is about to be sent, and returns its sequence number. Returns
+   * undefined while another message is pending; a further one is then due when that has ended.
    */
   begin(now: number): number | undefined {
-    if (this.#awaiting > 0 && now - this.#sentAt < ANSWER_MS) {
-      this.#again = true;
+    if (this.#pendingSequence > 0 && now - this.#sentAt < REPLY_TIMEOUT_MS) {
+      this.#resendNeeded = true;
       return undefined;
     }
     this.#sentAt = now;
-    this.#again = false;
+    this.#resendNeeded = false;
     this.#sequence += 1;
-    this.#awaiting = this.#sequence;
+    this.#pendingSequence = this.#sequence;
     return this.#sequence;
   }
 
-  /** Ends message `sequence`; true when something came up meanwhile that is to be sent at once. */
+  /** Marks message `sequence` as replied to; true if another message is due at once. */
   end(sequence: number): boolean {
-    if (this.#awaiting === sequence) {
-      this.#awaiting = 0;
+    if (this.#pendingSequence === sequence) {
+      this.#pendingSequence = 0;
     }
-    return this.#again;
+    return this.#resendNeeded;
   }
 
-  /** What it lacks: entries, or the whole state when its log does not join on. */
-  content(log: ReplicatedLog): Content {
+  /** The entries that the replica lacks, preceded by a snapshot if they do not connect to its log. */
+  nextContent(log: ReplicatedLog): Content {
     const { snapshot } = log;
-    const from = this.#next ?? log.lastIndex;
+    const from = this.#nextPrevIndex ?? log.lastIndex;
     const prevTerm = log.termAt(from);
     if (prevTerm === undefined) {
       const entries = log.entriesAfter(snapshot.index).slice(0, ENTRIES_PER_MESSAGE);
@@ -90,17 +90,17 @@
   }
 
   /**
-   * Takes in its reply to a message sent at `sentAt`; true when it moved on from
-   * there, so that what it still lacks can follow at once. One that refuses the same
-   * message again (a full disk) has to wait for the next heartbeat.
+   * Applies the reply to a message sent at `sentAt`. Returns true if the next message starts
+   * at another index, so that it can be sent at once. A replica that rejects the same message
+   * again, for example because its disk is full, has to wait for the next heartbeat.
    */
-  note(reply: AppendReply, sentAt: number): boolean {
+  applyReply(reply: AppendReply, sentAt: number): boolean {
     this.#ackedAt = Math.max(this.#ackedAt, sentAt);
-    const moved = this.#next !== reply.matched;
-    this.#next = reply.matched;
+    const progressed = this.#nextPrevIndex !== reply.matched;
+    this.#nextPrevIndex = reply.matched;
     if (reply.ok) {
       this.#matched = Math.max(this.#matched, reply.matched);
     }
-    return moved;
+    return progressed;
   }
 }
--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -24,7 +24,7 @@
 import type { Voter } from "../log/Voter.ts";
 
 /** How a proposal ended. */
-type Proposed =
+type ProposalOutcome =
   | { readonly kind: "committed"; readonly version: number }
   | { readonly kind: "not-leader" }
   /** Sent out but not acknowledged by a quorum in time: it may still be committed. */
@@ -58,10 +58,10 @@
  * A write that took longer than this shows a failing disk, ms: a healthy sync takes 2,
  * one on a slowed disk 70. A leader hands over, since every change waits for its disk.
  */
-const SICK_WRITE_MS = 400;
+const SLOW_WRITE_MS = 400;
 
 /** A replica whose disk failed or stalled does not stand for election for this long, ms. */
-const SICK_DISK_ABSTAINS_MS = 5000;
+const DISK_FAULT_ABSTAIN_MS = 5000;
 
 /**
  * One control replica's part in agreeing on the document: leader election, a
@@ -77,10 +77,10 @@
   readonly #listeners = new Set<() => void>();
   #state: ConfigState;
   /** Index up to which entries are committed, and taken into the state. */
-  #committed: number;
+  #commitIndex: number;
   #term: LeaderTerm | undefined;
   #leader: KnownLeader | undefined;
-  #leaderHeardAt = -Infinity;
+  #lastHeartbeatAt = -Infinity;
   #proposals: Promise<unknown> = Promise.resolve();
   #joinTimer: Timer | undefined;
 
@@ -90,7 +90,7 @@
     this.#log = deps.log;
     const { snapshot } = deps.log;
     this.#state = new ConfigState(snapshot.config);
-    this.#committed = snapshot.index;
+    this.#commitIndex = snapshot.index;
     this.#election = new Election({
       log: deps.log,
       link: deps.link,
@@ -100,15 +100,15 @@
       noteTerm: (term) => {
         this.#noteTerm(term);
       },
-      won: () => {
-        this.#lead();
+      onElected: () => {
+        this.#startLeading();
       },
-      mayStand: () => this.#term === undefined,
-      unled: () => {
-        this.#changed();
+      canCampaign: () => this.#term === undefined,
+      onElectionTimeout: () => {
+        this.#notifyListeners();
       },
       enterTerm: (term) =>
-        this.#durably(() => {
+        this.#tryWrite(() => {
           this.#log.enterTerm(term, this.#log.id);
         }),
     });
@@ -119,7 +119,7 @@
   start(): void {
     this.#election.start();
     this.#joinTimer = this.#deps.clock.after(0, () => {
-      this.#keepJoining();
+      this.#joinPeriodically();
     });
     this.register({
       dispose: () => {
@@ -159,7 +159,7 @@
     if (!this.#log.group.voters.some((v) => v.id === this.#log.id)) {
       return "learner";
     }
-    return this.#election.underWay ? "candidate" : "follower";
+    return this.#election.isCampaigning ? "candidate" : "follower";
   }
 
   /** The replicas of the control group, as this one knows it. */
@@ -174,7 +174,7 @@
 
   /** True while this replica leads with a lease: its committed document is the current one. */
   get holdsLease(): boolean {
-    return this.#term?.holdsLease(this.#committed) ?? false;
+    return this.#term?.holdsLease(this.#commitIndex) ?? false;
   }
 
   /**
@@ -183,7 +183,7 @@
    * not hand its old document to a sidecar that has none newer.
    */
   get inTouch(): boolean {
-    return this.holdsLease || (this.#term === undefined && this.#hearsLeader);
+    return this.holdsLease || (this.#term === undefined && this.#hasRecentHeartbeat);
   }
 
   /** Calls `listener` with every committed change and loss of touch; returns how to stop. */
@@ -199,7 +199,7 @@
    */
   async readCurrent(): Promise<ConfigState | undefined> {
     const term = this.#term;
-    if (!term || !this.holdsLease || !(await term.confirm())) {
+    if (!term || !this.holdsLease || !(await term.confirmLeadership())) {
       return undefined;
     }
     return this.#state;
@@ -211,26 +211,26 @@
    */
   propose<T>(
     decide: (current: ConfigState) => { propose: AcceptedChange } | { answer: T },
-  ): Promise<Proposed | { readonly kind: "answered"; readonly answer: T }> {
+  ): Promise<ProposalOutcome | { readonly kind: "answered"; readonly answer: T }> {
     const turn = this.#proposals.then(async () => {
       const term = this.#term;
       if (!term || !this.holdsLease) {
         return { kind: "not-leader" } as const;
       }
       // A proposal of before that timed out may still be pending: its fate comes first.
-      if (!(await term.committed(this.#log.lastIndex))) {
+      if (!(await term.waitForCommit(this.#log.lastIndex))) {
         return { kind: "unknown" } as const;
       }
       const decision = decide(this.#state);
       if ("answer" in decision) {
         // A replica that was suspended, and leads no more, may decide by an old state.
-        return (await term.confirm())
+        return (await term.confirmLeadership())
           ? ({ kind: "answered", answer: decision.answer } as const)
           : ({ kind: "unknown" } as const);
       }
       const { propose: change } = decision;
       const index = term.append({ kind: "change", change });
-      const done = index !== undefined && (await term.committed(index));
+      const done = index !== undefined && (await term.waitForCommit(index));
       return done
         ? ({ kind: "committed", version: change.version } as const)
         : ({ kind: "unknown" } as const);
@@ -245,13 +245,13 @@
     return (
       group.next === undefined &&
       group.voters.length >= this.#deps.wantedVoters &&
-      this.#committed >= groupIndex
+      this.#commitIndex >= groupIndex
     );
   }
 
   /** Passes leadership on, before a planned stop. */
   handOver(): void {
-    const heir = this.#term?.mostAdvanced();
+    const heir = this.#term?.mostUpToDate();
     if (heir) {
       const req = { kind: "handover", to: heir.id, term: this.#log.term } as const;
       this.#deps.link.send(heir.address, req, () => undefined);
@@ -281,8 +281,8 @@
     return this.voters.some((v) => v.id === this.#log.id);
   }
 
-  get #hearsLeader(): boolean {
-    return this.#deps.clock.now() - this.#leaderHeardAt < this.#deps.timing.electionMinMs;
+  get #hasRecentHeartbeat(): boolean {
+    return this.#deps.clock.now() - this.#lastHeartbeatAt < this.#deps.timing.electionMinMs;
   }
 
   #onVote(req: VoteRequest): ReplicaReply {
@@ -295,7 +295,7 @@
     const upToDate =
       req.lastTerm > lastTerm || (req.lastTerm === lastTerm && req.lastIndex >= lastIndex);
     // A leader that others hear keeps its lease: no vote before it can have run out.
-    const leaseStands = !req.handover && (this.holdsLease || this.#hearsLeader);
+    const leaseStands = !req.handover && (this.holdsLease || this.#hasRecentHeartbeat);
     return upToDate && !leaseStands && req.term >= term;
   }
 
@@ -305,33 +305,33 @@
       return false;
     }
     if (
-      !this.#durably(() => {
+      !this.#tryWrite(() => {
         this.#log.enterTerm(req.term, req.candidate);
       })
     ) {
       return false;
     }
     this.#stepDown("voted in a later term");
-    this.#election.defer();
+    this.#election.postpone();
     return true;
   }
 
   #onAppend(req: AppendRequest): ReplicaReply {
-    if (req.term < this.#log.term || !this.#follow(req)) {
-      return this.#appendReply(false, this.#committed);
+    if (req.term < this.#log.term || !this.#acceptLeader(req)) {
+      return this.#appendReply(false, this.#commitIndex);
     }
     const { snapshot } = req;
-    if (snapshot && snapshot.index > this.#committed && !this.#install(snapshot)) {
-      return this.#appendReply(false, this.#committed);
+    if (snapshot && snapshot.index > this.#commitIndex && !this.#install(snapshot)) {
+      return this.#appendReply(false, this.#commitIndex);
     }
     const joinsOn =
-      req.prevIndex <= this.#committed || this.#log.termAt(req.prevIndex) === req.prevTerm;
-    if (this.#committed < 0 || !joinsOn || !this.#takeIn(req)) {
-      return this.#appendReply(false, this.#committed);
+      req.prevIndex <= this.#commitIndex || this.#log.termAt(req.prevIndex) === req.prevTerm;
+    if (this.#commitIndex < 0 || !joinsOn || !this.#appendMissing(req)) {
+      return this.#appendReply(false, this.#commitIndex);
     }
     const matched = req.prevIndex + req.entries.length;
-    this.#commit(Math.min(req.committed, Math.max(matched, this.#committed)));
-    return this.#appendReply(true, Math.max(matched, this.#committed));
+    this.#commit(Math.min(req.committed, Math.max(matched, this.#commitIndex)));
+    return this.#appendReply(true, Math.max(matched, this.#commitIndex));
   }
 
   #appendReply(ok: boolean, matched: number): ReplicaReply {
@@ -339,10 +339,10 @@
   }
 
   /** Recognizes the sender as the leader of its term; false when the disk refuses the new term. */
-  #follow(req: AppendRequest): boolean {
+  #acceptLeader(req: AppendRequest): boolean {
     if (
       req.term > this.#log.term &&
-      !this.#durably(() => {
+      !this.#tryWrite(() => {
         this.#log.enterTerm(req.term, req.leader.id);
       })
     ) {
@@ -353,39 +353,39 @@
       this.#deps.logger.info({ leader: req.leader, term: req.term }, "following");
     }
     this.#leader = { replica: req.leader, api: req.leaderApi };
-    this.#leaderHeardAt = this.#deps.clock.now();
+    this.#lastHeartbeatAt = this.#deps.clock.now();
     this.#election.noteLeader();
     return true;
   }
 
   #install(snapshot: NonNullable<AppendRequest["snapshot"]>): boolean {
     if (
-      !this.#durably(() => {
+      !this.#tryWrite(() => {
         this.#log.install(snapshot);
       })
     ) {
       return false;
     }
     this.#state = new ConfigState(snapshot.config);
-    this.#committed = snapshot.index;
+    this.#commitIndex = snapshot.index;
     this.#deps.logger.info(
       { index: snapshot.index, version: snapshot.config.version },
       "took the leader's snapshot",
     );
-    this.#changed();
+    this.#notifyListeners();
     return true;
   }
 
   /** Appends what is missing; what stands already, and all that is committed, stays as it is. */
-  #takeIn(req: AppendRequest): boolean {
-    const fresh = req.entries.filter((e) => e.index > this.#committed);
+  #appendMissing(req: AppendRequest): boolean {
+    const fresh = req.entries.filter((e) => e.index > this.#commitIndex);
     const missing = fresh.findIndex((e) => this.#log.termAt(e.index) !== e.term);
     if (missing < 0) {
       return true;
     }
     const entries = fresh.slice(missing);
     const after = (entries[0]?.index ?? 0) - 1;
-    return this.#durably(() => {
+    return this.#tryWrite(() => {
       this.#log.append(after, entries);
     });
   }
@@ -407,17 +407,17 @@
    * Asks to be let in while outside the group, and while no leader is heard: a voter
    * that was cut off may have lost its place meanwhile, and does not know.
    */
-  #keepJoining(): void {
+  #joinPeriodically(): void {
     const { clock, timing } = this.#deps;
-    if (this.#term === undefined && (!this.#isVoter || !this.#hearsLeader)) {
-      this.#askToJoin();
+    if (this.#term === undefined && (!this.#isVoter || !this.#hasRecentHeartbeat)) {
+      this.#sendJoinRequests();
     }
     this.#joinTimer = clock.after(timing.joinMs, () => {
-      this.#keepJoining();
+      this.#joinPeriodically();
     });
   }
 
-  #askToJoin(): void {
+  #sendJoinRequests(): void {
     const { self, contacts, link } = this.#deps;
     const req = { kind: "join", replica: { id: this.#log.id, ...this.#selfAddress() } } as const;
     const known = [...contacts(), ...this.voters.map((v) => v.address)];
@@ -436,7 +436,7 @@
     return { address, zone };
   }
 
-  #lead(): void {
+  #startLeading(): void {
     const { self, logger } = this.#deps;
     logger.info({ term: this.#log.term, voters: this.voters.length }, "leading");
     this.#leader = undefined;
@@ -444,21 +444,21 @@
       ...this.#deps,
       self: { id: this.#log.id, ...this.#selfAddress() },
       api: self.api,
-      committed: () => this.#committed,
+      commitIndex: () => this.#commitIndex,
       commit: (index) => {
         this.#commit(index);
       },
       noteTerm: (term) => {
         this.#noteTerm(term);
       },
-      retire: () => {
+      onExcluded: () => {
         this.handOver();
-        this.#lose("left out of the group");
+        this.#loseLeadership("left out of the group");
       },
-      lost: (reason) => {
-        this.#lose(reason);
+      onLeadershipLost: (reason) => {
+        this.#loseLeadership(reason);
       },
-      durably: (write) => this.#durably(write),
+      tryWrite: (write) => this.#tryWrite(write),
     });
     this.#term.start();
   }
@@ -466,23 +466,23 @@
   #noteTerm(term: number): void {
     if (
       term > this.#log.term &&
-      this.#durably(() => {
+      this.#tryWrite(() => {
         this.#log.enterTerm(term);
       })
     ) {
-      this.#lose("a later term is known");
+      this.#loseLeadership("a later term is known");
     }
   }
 
   /** Stops leading, if it does, and waits for another to lead. */
-  #lose(reason: string): void {
+  #loseLeadership(reason: string): void {
     this.#stepDown(reason);
-    this.#election.defer();
-    this.#changed();
+    this.#election.postpone();
+    this.#notifyListeners();
   }
 
   #stepDown(reason: string): void {
-    this.#election.giveUp();
+    this.#election.cancel();
     if (this.#term) {
       this.#deps.logger.info({ term: this.#log.term, reason }, "no longer leading");
       this.#term.dispose();
@@ -492,18 +492,18 @@
 
   /** Takes entries up to `index` into the state. */
   #commit(index: number): void {
-    if (index <= this.#committed) {
+    if (index <= this.#commitIndex) {
       return;
     }
-    const fresh = this.#log.entriesAfter(this.#committed).filter((e) => e.index <= index);
-    this.#committed = index;
+    const fresh = this.#log.entriesAfter(this.#commitIndex).filter((e) => e.index <= index);
+    this.#commitIndex = index;
     fresh.forEach((e) => {
       this.#apply(e);
     });
-    this.#durably(() => {
+    this.#tryWrite(() => {
       this.#log.compact(index, () => this.#state.snapshot());
     });
-    this.#changed();
+    this.#notifyListeners();
   }
 
   #apply({ body }: LogEntry): void {
@@ -521,7 +521,7 @@
    * it had not been asked for. A disk that fails or stalls makes a poor leader: it
    * passes leadership on and does not stand for a while.
    */
-  #durably(write: () => void): boolean {
+  #tryWrite(write: () => void): boolean {
     const startedAt = this.#deps.clock.now();
     try {
       write();
@@ -535,7 +535,7 @@
     }
     const ms = this.#deps.clock.now() - startedAt;
     this.#deps.onWrite?.(ms);
-    if (ms > SICK_WRITE_MS) {
+    if (ms > SLOW_WRITE_MS) {
       this.#deps.logger.warn({ ms: Math.round(ms) }, "a write to the disk took long");
       this.#abstain("the disk is slow");
     }
@@ -544,20 +544,20 @@
 
   #abstain(reason: string): void {
     this.handOver();
-    this.#election.abstain(SICK_DISK_ABSTAINS_MS);
+    this.#election.abstain(DISK_FAULT_ABSTAIN_MS);
     if (this.#term) {
       const term = this.#term;
       // Not at once: the caller is in the midst of its own step.
       queueMicrotask(() => {
         if (this.#term === term) {
           this.#stepDown(reason);
-          this.#changed();
+          this.#notifyListeners();
         }
       });
     }
   }
 
-  #changed(): void {
+  #notifyListeners(): void {
     for (const listener of [...this.#listeners]) {
       listener();
     }
--- a/src/control/replica/planVoters.test.ts
+++ b/src/control/replica/planVoters.test.ts
@@ -6,7 +6,7 @@
 const candidate = (id: string, over: Partial<Candidate> & { zone?: string } = {}): Candidate => ({
   replica: replica(id, over.zone),
   reachable: true,
-  gone: false,
+  diskLost: false,
   caughtUp: true,
   silentMs: 0,
   ...over,
@@ -21,43 +21,45 @@
   group: readonly string[] | undefined;
 }[] = [
   {
-    name: "a full group that answers stays, whoever asks to be let in",
+    name: "a complete and reachable group does not change when a learner requests to join",
     voters: five.map((id) => candidate(id)),
     learners: [candidate("n")],
     group: undefined,
   },
   {
-    name: "the first three are joined by the others",
+    name: "learners fill the free places of a group of three",
     voters: ["a", "b", "c"].map((id) => candidate(id)),
     learners: [candidate("d"), candidate("e")],
     group: ["a", "b", "c", "d", "e"],
   },
   {
-    name: "a newcomer that has not caught up waits",
+    name: "a learner that has not caught up is not made a voter",
     voters: ["a", "b", "c"].map((id) => candidate(id)),
     learners: [candidate("d", { caughtUp: false })],
     group: undefined,
   },
   {
-    name: "a silent voter stays while nobody can take its place",
+    name: "an unreachable voter keeps its place while there is no replacement",
     voters: five.map((id) => candidate(id, id === "b" ? silent : {})),
     learners: [],
     group: undefined,
   },
   {
-    name: "a newcomer takes a silent voter's place",
+    name: "a learner replaces an unreachable voter",
     voters: five.map((id) => candidate(id, id === "b" ? silent : {})),
     learners: [candidate("n")],
     group: ["a", "c", "d", "e", "n"],
   },
   {
-    name: "the place of one whose disk is lost goes before that of one only silent",
-    voters: five.map((id) => candidate(id, id === "b" ? silent : id === "d" ? { gone: true } : {})),
+    name: "a voter whose disk is lost is replaced before one that is only unreachable",
+    voters: five.map((id) =>
+      candidate(id, id === "b" ? silent : id === "d" ? { diskLost: true } : {}),
+    ),
     learners: [candidate("d2")],
     group: ["a", "c", "e", "d2", "b"],
   },
   {
-    name: "of two silent voters the one silent for longer goes",
+    name: "of two unreachable voters, the one unreachable for longer is replaced",
     voters: five.map((id) =>
       candidate(id, id === "b" ? silent : id === "d" ? { ...silent, silentMs: 9000 } : {}),
     ),
