--- a/src/control/link/GrpcReplicaLink.ts
+++ b/src/control/link/GrpcReplicaLink.ts
@@ -25,14 +25,14 @@
 
 /** {@link ReplicaLink} over gRPC, one connection to each replica. */
 export class GrpcReplicaLink implements ReplicaLink, IDisposable {
-  readonly #ctor = loadProto("replica").Replica as grpc.ServiceClientConstructor;
+  readonly #clientClass = loadProto("replica").Replica as grpc.ServiceClientConstructor;
   readonly #clients = new Map<string, RenewedClient<ReplicaClient>>();
 
   send(address: string, req: ReplicaRequest, onReply: (reply: ReplicaReply) => void): void {
     // A lost message is what the protocol allows for: the sender tries again in its
     // own time, and its loss of touch is logged there.
     this.#client(address)
-      .call((client) => ask(client, req))
+      .call((client) => callReplica(client, req))
       .then(onReply, () => undefined);
   }
 
@@ -46,14 +46,14 @@
   #client(address: string): RenewedClient<ReplicaClient> {
     let client = this.#clients.get(address);
     if (!client) {
-      client = new RenewedClient(this.#ctor, address);
+      client = new RenewedClient(this.#clientClass, address);
       this.#clients.set(address, client);
     }
     return client;
   }
 }
 
-async function ask(client: ReplicaClient, req: ReplicaRequest): Promise<ReplicaReply> {
+async function callReplica(client: ReplicaClient, req: ReplicaRequest): Promise<ReplicaReply> {
   switch (req.kind) {
     case "vote": {
       const vote = client.Vote.bind(client);
