--- a/src/control/replica/ReplicaLink.ts
+++ b/src/control/replica/ReplicaLink.ts
@@ -1,7 +1,7 @@
 import type { ReplicaReply, ReplicaRequest } from "./ReplicaMessages.ts";
 
-/** The way to other replicas. */
+/** Transport for messages to other replicas. */
 export interface ReplicaLink {
-  /** Sends `req`; `onReply` is called with the answer, at most once, or never when either is lost. */
+  /** Sends `req`; calls `onReply` at most once, and never if the request or its reply is lost. */
   send(address: string, req: ReplicaRequest, onReply: (reply: ReplicaReply) => void): void;
 }
--- a/src/control/replica/ReplicaMessages.ts
+++ b/src/control/replica/ReplicaMessages.ts
@@ -3,7 +3,7 @@
 import type { LogSnapshot } from "../log/LogSnapshot.ts";
 import type { Voter } from "../log/Voter.ts";
 
-/** A request for a vote, or only the question whether one would be given. */
+/** Requests a vote, or asks in a pre-vote whether one would be granted. */
 export interface VoteRequest {
   readonly kind: "vote";
   readonly to: ReplicaId;
@@ -11,61 +11,61 @@
   readonly term: number;
   readonly lastIndex: number;
   readonly lastTerm: number;
-  /** A sounding that changes nothing: would you vote for me? */
+  /** True for a pre-vote, which changes no state: it asks whether the vote would be granted. */
   readonly pre: boolean;
-  /** The leader itself asked the candidate to take over, so its lease does not stand in the way. */
+  /** True if the leader itself asked the candidate to take over, so that its lease does not prevent the vote. */
   readonly handover: boolean;
 }
 
-/** A leader's heartbeat, with what the follower lacks. */
+/** A leader's heartbeat, with the entries that the follower lacks. */
 export interface AppendRequest {
   readonly kind: "append";
   readonly to: ReplicaId;
   readonly term: number;
   readonly leader: Voter;
-  /** Where operators reach the leader. */
+  /** API address of the leader for operators. */
   readonly leaderApi: string;
   /** Index up to which entries are committed. */
   readonly committed: number;
-  /** Sent in place of all that the follower has, when its log does not join on to the leader's. */
+  /** Replaces the follower's whole state, when the leader no longer has the entries that connect to its log. */
   readonly snapshot?: LogSnapshot;
   readonly prevIndex: number;
   readonly prevTerm: number;
   readonly entries: readonly LogEntry[];
 }
 
-/** A replica that is not in the control group, or hears no leader, makes itself known. */
+/** Requests membership, from a replica that is outside the control group or hears no leader. */
 export interface JoinRequest {
   readonly kind: "join";
   readonly replica: Voter;
 }
 
-/** The leader asks a follower to take over at once: it is being stopped, or its disk is failing. */
+/** The leader asks a follower to take over at once, because it is being stopped, removed, or its disk is failing. */
 export interface HandoverRequest {
   readonly kind: "handover";
   readonly to: ReplicaId;
   readonly term: number;
 }
 
-/** What replicas ask of each other. */
+/** A request between replicas. */
 export type ReplicaRequest = VoteRequest | AppendRequest | JoinRequest | HandoverRequest;
 
-/** What they answer. */
+/** The reply to a {@link ReplicaRequest}. */
 export type ReplicaReply =
   | { readonly kind: "vote"; readonly term: number; readonly granted: boolean }
   | {
       readonly kind: "append";
       readonly term: number;
-      /** The follower's log joins on. */
+      /** True if the follower's log matches the leader's at `prevIndex`, and the entries are stored. */
       readonly ok: boolean;
       /**
-       * Index up to which it holds the leader's log; where it did not join on, the
-       * index of its last committed entry, up to which no two logs can differ.
+       * Index up to which the follower holds the leader's log. If `ok` is false, the index of
+       * its last committed entry, up to which all logs are equal.
        */
       readonly matched: number;
     }
-  /** The one asked for is not at this address any more: another disk answers there. */
+  /** The addressed replica is no longer at this address: replica `id`, with another disk, replied. */
   | { readonly kind: "stranger"; readonly id: ReplicaId }
-  /** The leader's address, as far as known; empty when not. */
+  /** The leader's address; empty while unknown. */
   | { readonly kind: "join"; readonly leader: string }
   | { readonly kind: "handover" };
--- a/src/control/replica/ReplicaTiming.ts
+++ b/src/control/replica/ReplicaTiming.ts
@@ -1,14 +1,14 @@
-/** A replica's intervals, ms. The lease must be shorter than the shortest election timeout. */
+/** A replica's intervals and timeouts, ms. The lease must be shorter than the shortest election timeout. */
 export interface ReplicaTiming {
   readonly heartbeatMs: number;
-  /** A leader that has not heard from a quorum for this long serves nothing as current. */
+  /** A leader without replies from a quorum for this long no longer serves its state as current. */
   readonly leaseMs: number;
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
-  /** An apply not committed by then is answered as of unknown outcome. */
+  /** The outcome of a proposal that is not committed within this time is reported as unknown. */
   readonly proposeMs: number;
-  /** A voter silent for this long gives up its place, if another replica is ready to take it. */
+  /** A voter that has not replied for this long is replaced, if a learner has caught up. */
   readonly replaceAfterMs: number;
-  /** How often a replica outside the group asks to be let in. */
+  /** Interval between join requests of a replica outside the group. */
   readonly joinMs: number;
 }
