--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -23,52 +23,52 @@
 import type { ReplicaTiming } from "./ReplicaTiming.ts";
 import type { Voter } from "../log/Voter.ts";
 
-/** How a proposal ended. */
+/** Outcome of a proposal. */
 type ProposalOutcome =
   | { readonly kind: "committed"; readonly version: number }
   | { readonly kind: "not-leader" }
-  /** Sent out but not acknowledged by a quorum in time: it may still be committed. */
+  /** Not acknowledged by a quorum in time, or not stored; it may still be committed. */
   | { readonly kind: "unknown" };
 
 interface ReplicaDeps {
-  /** Where other replicas and operators reach this one. */
+  /** Addresses of this replica, for other replicas and for operators, and its zone. */
   readonly self: { readonly address: string; readonly zone: string; readonly api: string };
-  /** Replicas that may know the group, asked by one that is outside it. */
+  /** Addresses of replicas that may know the group, to which join requests are sent. */
   readonly contacts: () => readonly string[];
-  /** Voters that the stated tolerance asks for. */
+  /** Number of voters needed for the configured fault tolerance. */
   readonly wantedVoters: number;
   readonly log: ReplicatedLog;
   readonly link: ReplicaLink;
   readonly timing: ReplicaTiming;
   readonly clock: Clock;
-  /** In [0, 1); tests pass a seeded one. */
+  /** Random numbers in [0, 1); seeded in tests. */
   readonly random: () => number;
   readonly logger: bunyan;
-  /** Told how long each write to the disk took, ms. */
+  /** Called with the duration of each disk write, ms. */
   readonly onWrite?: (ms: number) => void;
 }
 
-/** A leader as its followers know it. */
+/** The leader, as known to a follower. */
 interface KnownLeader {
   readonly replica: Voter;
   readonly api: string;
 }
 
 /**
- * A write that took longer than this shows a failing disk, ms: a healthy sync takes 2,
- * one on a slowed disk 70. A leader hands over, since every change waits for its disk.
+ * A write that takes longer than this indicates a failing disk, ms: a sync takes 2 on a healthy
+ * disk and 70 on a slow one. A leader then hands over, since every change waits for its disk.
  */
 const SLOW_WRITE_MS = 400;
 
-/** A replica whose disk failed or stalled does not stand for election for this long, ms. */
+/** How long a replica starts no election after its disk failed or stalled, ms. */
 const DISK_FAULT_ABSTAIN_MS = 5000;
 
 /**
- * One control replica's part in agreeing on the document: leader election, a
- * replicated log with a majority quorum, and changes of the group one replica at
- * a time (Ongaro and Ousterhout, "In Search of an Understandable Consensus
- * Algorithm", 2014; Ongaro's thesis, chapter 4). A sounding before each election
- * keeps a cut-off replica from unseating a leader that others hear.
+ * One control replica of the Raft group that agrees on the configuration document: leader
+ * election, a replicated log with a majority quorum, and group changes by joint consensus
+ * (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014;
+ * Ongaro's thesis, chapter 4). A pre-vote before each election keeps a replica that was cut
+ * off from deposing a leader that the others still hear.
  */
 export class Replica extends Disposable {
   readonly #deps: ReplicaDeps;
@@ -76,12 +76,12 @@
   readonly #election: Election;
   readonly #listeners = new Set<() => void>();
   #state: ConfigState;
-  /** Index up to which entries are committed, and taken into the state. */
+  /** Index up to which entries are committed and applied to the state. */
   #commitIndex: number;
   #term: LeaderTerm | undefined;
   #leader: KnownLeader | undefined;
   #lastHeartbeatAt = -Infinity;
-  #proposals: Promise<unknown> = Promise.resolve();
+  #lastProposal: Promise<unknown> = Promise.resolve();
   #joinTimer: Timer | undefined;
 
   constructor(deps: ReplicaDeps) {
@@ -115,7 +115,7 @@
     this.register(this.#election);
   }
 
-  /** Starts taking part until disposed. */
+  /** Starts elections and join requests; they run until the replica is disposed. */
   start(): void {
     this.#election.start();
     this.#joinTimer = this.#deps.clock.after(0, () => {
@@ -129,17 +129,17 @@
     });
   }
 
-  /** Id of this replica's disk. */
+  /** Id of this replica; it is stored with the log, so a replica on an empty disk has a new one. */
   get id(): ReplicaId {
     return this.#log.id;
   }
 
-  /** The election term that it is in. */
+  /** Its current election term. */
   get term(): number {
     return this.#log.term;
   }
 
-  /** The leader's id and where operators reach it, as far as known. */
+  /** The leader's id and API address for operators; undefined while unknown. */
   get leader(): { readonly id: ReplicaId; readonly api: string } | undefined {
     if (this.#term) {
       return { id: this.#log.id, api: this.#deps.self.api };
@@ -148,9 +148,9 @@
   }
 
   /**
-   * Its part at the moment: `leader`, `follower`, `candidate`; or `learner` outside the
-   * group, and until the change that lets it in is complete: before that, the loss of
-   * another replica still counts as a second one.
+   * Its current role. It is a `learner` outside the group and until the change that adds it
+   * is complete: before that, the replica that it replaces is still a voter, so that the
+   * loss of one more replica would be a second loss.
    */
   get role(): "leader" | "follower" | "candidate" | "learner" {
     if (this.#term) {
@@ -162,40 +162,40 @@
     return this.#election.isCampaigning ? "candidate" : "follower";
   }
 
-  /** The replicas of the control group, as this one knows it. */
+  /** The replicas of the control group, according to this replica's log. */
   get voters(): readonly Voter[] {
     return membersOf(this.#log.group);
   }
 
-  /** The committed document, its version, and the orders that led to it. */
+  /** The committed document, its version, and the recently accepted change requests. */
   get state(): ConfigState {
     return this.#state;
   }
 
-  /** True while this replica leads with a lease: its committed document is the current one. */
+  /** True while this replica holds the leader lease, so that its committed document is the current one. */
   get holdsLease(): boolean {
     return this.#term?.holdsLease(this.#commitIndex) ?? false;
   }
 
   /**
-   * True while what is committed here is at most a moment behind: leads with a
-   * lease, or heard from the leader just now. A replica cut off for hours must
-   * not hand its old document to a sidecar that has none newer.
+   * True while this replica's committed document is recent: it holds the leader lease, or
+   * has heard from the leader within the shortest election timeout. A replica that was cut
+   * off for hours must not serve its old document to a sidecar that has no newer one.
    */
   get inTouch(): boolean {
     return this.holdsLease || (this.#term === undefined && this.#hasRecentHeartbeat);
   }
 
-  /** Calls `listener` with every committed change and loss of touch; returns how to stop. */
+  /** Calls `listener` after every commit, change of leadership or loss of the leader; returns a function that removes it. */
   onChange(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
   }
 
   /**
-   * The current document, confirmed by a quorum after the call began; undefined
-   * where this replica does not lead. A lease alone would not do: a machine
-   * suspended as a whole wakes with its steady clock, and its lease, unmoved.
+   * Returns the current state, confirmed by a quorum after the call began; undefined if this
+   * replica does not lead or cannot confirm. The lease alone is not sufficient: the monotonic
+   * clock stops while a machine is suspended, so the lease still appears valid afterwards.
    */
   async readCurrent(): Promise<ConfigState | undefined> {
     const term = this.#term;
@@ -206,40 +206,40 @@
   }
 
   /**
-   * Proposes the change that `decide` makes of the current state, one proposal
-   * at a time; `decide` may also settle the matter without a proposal.
+   * Proposes the change that `decide` returns for the current state. Proposals run one at a
+   * time. `decide` may also return an answer, with which the call ends without a proposal.
    */
   propose<T>(
     decide: (current: ConfigState) => { propose: AcceptedChange } | { answer: T },
   ): Promise<ProposalOutcome | { readonly kind: "answered"; readonly answer: T }> {
-    const turn = this.#proposals.then(async () => {
+    const proposal = this.#lastProposal.then(async () => {
       const term = this.#term;
       if (!term || !this.holdsLease) {
         return { kind: "not-leader" } as const;
       }
-      // A proposal of before that timed out may still be pending: its fate comes first.
+      // An earlier proposal that timed out may still be pending; its outcome must be known first.
       if (!(await term.waitForCommit(this.#log.lastIndex))) {
         return { kind: "unknown" } as const;
       }
       const decision = decide(this.#state);
       if ("answer" in decision) {
-        // A replica that was suspended, and leads no more, may decide by an old state.
+        // A replica that lost its leadership while suspended may have decided on an outdated state.
         return (await term.confirmLeadership())
           ? ({ kind: "answered", answer: decision.answer } as const)
           : ({ kind: "unknown" } as const);
       }
       const { propose: change } = decision;
       const index = term.append({ kind: "change", change });
-      const done = index !== undefined && (await term.waitForCommit(index));
-      return done
+      const isCommitted = index !== undefined && (await term.waitForCommit(index));
+      return isCommitted
         ? ({ kind: "committed", version: change.version } as const)
         : ({ kind: "unknown" } as const);
     });
-    this.#proposals = turn.catch(() => undefined);
-    return turn;
+    this.#lastProposal = proposal.catch(() => undefined);
+    return proposal;
   }
 
-  /** True once the group is as large as the stated tolerance asks for: an acknowledgement then survives it. */
+  /** True once the group is large enough for the configured fault tolerance, so that acknowledged changes survive that many losses. */
   get isGroupComplete(): boolean {
     const { group, groupIndex } = this.#log;
     return (
@@ -249,22 +249,22 @@
     );
   }
 
-  /** Passes leadership on, before a planned stop. */
+  /** Transfers leadership to the most up-to-date voter, before a planned stop or after a disk fault. */
   handOver(): void {
-    const heir = this.#term?.mostUpToDate();
-    if (heir) {
-      const req = { kind: "handover", to: heir.id, term: this.#log.term } as const;
-      this.#deps.link.send(heir.address, req, () => undefined);
+    const successor = this.#term?.mostUpToDate();
+    if (successor) {
+      const req = { kind: "handover", to: successor.id, term: this.#log.term } as const;
+      this.#deps.link.send(successor.address, req, () => undefined);
     }
   }
 
-  /** Answers another replica. */
+  /** Handles a request from another replica and returns the reply. */
   receive(req: ReplicaRequest): ReplicaReply {
     if (req.kind === "join") {
       return this.#onJoin(req);
     }
     if (req.to !== this.#log.id) {
-      // Meant for a disk that stood at this address before: none of its promises hold here.
+      // The request is for a replica whose disk was at this address before; this one does not have its votes or log.
       return { kind: "stranger", id: this.#log.id };
     }
     switch (req.kind) {
@@ -294,9 +294,9 @@
     const { lastIndex, lastTerm, term } = this.#log;
     const upToDate =
       req.lastTerm > lastTerm || (req.lastTerm === lastTerm && req.lastIndex >= lastIndex);
-    // A leader that others hear keeps its lease: no vote before it can have run out.
-    const leaseStands = !req.handover && (this.holdsLease || this.#hasRecentHeartbeat);
-    return upToDate && !leaseStands && req.term >= term;
+    // No vote while a known leader may hold its lease, unless that leader asked for the election.
+    const leaderMayHoldLease = !req.handover && (this.holdsLease || this.#hasRecentHeartbeat);
+    return upToDate && !leaderMayHoldLease && req.term >= term;
   }
 
   #castVote(req: VoteRequest): boolean {
@@ -311,7 +311,7 @@
     ) {
       return false;
     }
-    this.#stepDown("voted in a later term");
+    this.#stepDown("voted for another replica in a later term");
     this.#election.postpone();
     return true;
   }
@@ -324,9 +324,9 @@
     if (snapshot && snapshot.index > this.#commitIndex && !this.#install(snapshot)) {
       return this.#appendReply(false, this.#commitIndex);
     }
-    const joinsOn =
+    const matchesPrev =
       req.prevIndex <= this.#commitIndex || this.#log.termAt(req.prevIndex) === req.prevTerm;
-    if (this.#commitIndex < 0 || !joinsOn || !this.#appendMissing(req)) {
+    if (this.#commitIndex < 0 || !matchesPrev || !this.#appendMissing(req)) {
       return this.#appendReply(false, this.#commitIndex);
     }
     const matched = req.prevIndex + req.entries.length;
@@ -338,7 +338,7 @@
     return { kind: "append", term: this.#log.term, ok, matched };
   }
 
-  /** Recognizes the sender as the leader of its term; false when the disk refuses the new term. */
+  /** Accepts the sender as the leader of its term; false if the new term could not be stored. */
   #acceptLeader(req: AppendRequest): boolean {
     if (
       req.term > this.#log.term &&
@@ -348,9 +348,9 @@
     ) {
       return false;
     }
-    this.#stepDown("another leads in this term");
+    this.#stepDown("another replica leads this term");
     if (this.#leader?.replica.id !== req.leader.id) {
-      this.#deps.logger.info({ leader: req.leader, term: req.term }, "following");
+      this.#deps.logger.info({ leader: req.leader, term: req.term }, "following a new leader");
     }
     this.#leader = { replica: req.leader, api: req.leaderApi };
     this.#lastHeartbeatAt = this.#deps.clock.now();
@@ -370,20 +370,20 @@
     this.#commitIndex = snapshot.index;
     this.#deps.logger.info(
       { index: snapshot.index, version: snapshot.config.version },
-      "took the leader's snapshot",
+      "installed the leader's snapshot",
     );
     this.#notifyListeners();
     return true;
   }
 
-  /** Appends what is missing; what stands already, and all that is committed, stays as it is. */
+  /** Appends the entries that are missing; committed entries and matching entries stay unchanged. */
   #appendMissing(req: AppendRequest): boolean {
-    const fresh = req.entries.filter((e) => e.index > this.#commitIndex);
-    const missing = fresh.findIndex((e) => this.#log.termAt(e.index) !== e.term);
-    if (missing < 0) {
+    const uncommitted = req.entries.filter((e) => e.index > this.#commitIndex);
+    const firstMissing = uncommitted.findIndex((e) => this.#log.termAt(e.index) !== e.term);
+    if (firstMissing < 0) {
       return true;
     }
-    const entries = fresh.slice(missing);
+    const entries = uncommitted.slice(firstMissing);
     const after = (entries[0]?.index ?? 0) - 1;
     return this.#tryWrite(() => {
       this.#log.append(after, entries);
@@ -404,8 +404,8 @@
   }
 
   /**
-   * Asks to be let in while outside the group, and while no leader is heard: a voter
-   * that was cut off may have lost its place meanwhile, and does not know.
+   * Sends join requests while this replica is outside the group or hears no leader: a voter
+   * that was cut off may have been removed from the group without knowing it.
    */
   #joinPeriodically(): void {
     const { clock, timing } = this.#deps;
@@ -438,7 +438,7 @@
 
   #startLeading(): void {
     const { self, logger } = this.#deps;
-    logger.info({ term: this.#log.term, voters: this.voters.length }, "leading");
+    logger.info({ term: this.#log.term, voters: this.voters.length }, "became the leader");
     this.#leader = undefined;
     this.#term = new LeaderTerm({
       ...this.#deps,
@@ -453,7 +453,7 @@
       },
       onExcluded: () => {
         this.handOver();
-        this.#loseLeadership("left out of the group");
+        this.#loseLeadership("removed from the control group");
       },
       onLeadershipLost: (reason) => {
         this.#loseLeadership(reason);
@@ -470,11 +470,11 @@
         this.#log.enterTerm(term);
       })
     ) {
-      this.#loseLeadership("a later term is known");
+      this.#loseLeadership("saw a later term");
     }
   }
 
-  /** Stops leading, if it does, and waits for another to lead. */
+  /** Stops leading, if this replica leads, and waits for another leader. */
   #loseLeadership(reason: string): void {
     this.#stepDown(reason);
     this.#election.postpone();
@@ -490,14 +490,16 @@
     }
   }
 
-  /** Takes entries up to `index` into the state. */
+  /** Commits the entries up to `index` and applies them to the state. */
   #commit(index: number): void {
     if (index <= this.#commitIndex) {
       return;
     }
-    const fresh = this.#log.entriesAfter(this.#commitIndex).filter((e) => e.index <= index);
+    const newlyCommitted = this.#log
+      .entriesAfter(this.#commitIndex)
+      .filter((e) => e.index <= index);
     this.#commitIndex = index;
-    fresh.forEach((e) => {
+    newlyCommitted.forEach((e) => {
       this.#apply(e);
     });
     this.#tryWrite(() => {
@@ -511,15 +513,15 @@
       this.#state.apply(body.change);
     } else if (body.kind === "group") {
       const { voters, next } = body.group;
-      const changes = { voters: voters.map((v) => v.id), next: next?.map((v) => v.id) };
-      this.#deps.logger.info(changes, "control group");
+      const ids = { voters: voters.map((v) => v.id), next: next?.map((v) => v.id) };
+      this.#deps.logger.info(ids, "control group changed");
     }
   }
 
   /**
-   * Runs a write to the disk; false when the disk refused it, which is then as if
-   * it had not been asked for. A disk that fails or stalls makes a poor leader: it
-   * passes leadership on and does not stand for a while.
+   * Runs a disk write; returns false if it failed, in which case it had no effect. A replica
+   * whose disk fails or stalls is unfit to lead: it hands leadership over and starts no
+   * election for {@link DISK_FAULT_ABSTAIN_MS}.
    */
   #tryWrite(write: () => void): boolean {
     const startedAt = this.#deps.clock.now();
@@ -529,15 +531,15 @@
       if (!(err instanceof StorageError)) {
         throw err;
       }
-      this.#deps.logger.error({ err: err.message }, "the disk refused a write");
-      this.#abstain("the disk refused a write");
+      this.#deps.logger.error({ err: err.message }, "disk write failed");
+      this.#abstain("disk write failed");
       return false;
     }
     const ms = this.#deps.clock.now() - startedAt;
     this.#deps.onWrite?.(ms);
     if (ms > SLOW_WRITE_MS) {
-      this.#deps.logger.warn({ ms: Math.round(ms) }, "a write to the disk took long");
-      this.#abstain("the disk is slow");
+      this.#deps.logger.warn({ ms: Math.round(ms) }, "slow disk write");
+      this.#abstain("slow disk");
     }
     return true;
   }
@@ -547,7 +549,7 @@
     this.#election.abstain(DISK_FAULT_ABSTAIN_MS);
     if (this.#term) {
       const term = this.#term;
-      // Not at once: the caller is in the midst of its own step.
+      // Deferred, because the caller may still be in the middle of an operation of this term.
       queueMicrotask(() => {
         if (this.#term === term) {
           this.#stepDown(reason);
