--- a/src/control/replica/Replica.model.test.ts
+++ b/src/control/replica/Replica.model.test.ts
@@ -1,16 +1,16 @@
 import test from "ava";
 import { ControlChaos } from "../../../test/fixtures/ControlChaos.ts";
 
-/** Seeds played in CI; `MODEL_SEEDS=5000 MODEL_FROM=1` plays more by hand. */
+/** Number of seeds that CI runs; for longer runs, set `MODEL_SEEDS=5000 MODEL_FROM=1`. */
 const SEEDS = Number(process.env.MODEL_SEEDS ?? 60);
 const FROM = Number(process.env.MODEL_FROM ?? 1);
 const STEPS = 40;
 
-/** Seeds that failed once, each with its cause. */
+/** Seeds that have failed before, each with the fault that it showed. */
 const REGRESSIONS: readonly { seed: number; cause: string }[] = [
   {
     seed: 3235,
-    cause: "a leader that the change of the group left out went on leading, and never joined again",
+    cause: "a leader that a group change had removed kept leading and never rejoined",
   },
 ];
 
@@ -23,16 +23,19 @@
   return chaos.problems;
 };
 
-test("whatever is killed, wiped, cut, frozen or replaced, no accepted version is lost or goes back", async (t) => {
-  // Story: control machines fail, lose their disks, are replaced and return in any
-  // order while operators go on changing the document, race and send again what got
-  // no answer. What was acknowledged stands, and nothing older is ever read.
+test("no accepted version is lost or rolled back when machines are killed, wiped, cut off, frozen or replaced", async (t) => {
+  // Control machines fail, lose their disks, are replaced and return in any order, while
+  // operators submit racing changes and resend those without a reply. Every acknowledged
+  // change must survive, and no read may return an older version.
   t.timeout(600_000);
   for (let seed = FROM; seed < FROM + SEEDS; seed++) {
     t.deepEqual(await play(seed), [], `seed ${seed}`);
   }
   t.log(`${SEEDS} seeds, ${acknowledged} changes acknowledged`);
-  t.true(acknowledged > 3 * SEEDS, "the model lets too little through to show anything");
+  t.true(
+    acknowledged > 3 * SEEDS,
+    "too few changes were acknowledged for the run to be meaningful",
+  );
 });
 
 for (const { seed, cause } of REGRESSIONS) {
