--- a/src/control/replica/Replica.test.ts
+++ b/src/control/replica/Replica.test.ts
@@ -3,14 +3,14 @@
 
 const versions = (m: ControlModel) => m.up.map((a) => m.replica(a).state.version);
 
-/** The two replicas of three that do not lead. */
+/** The two followers in a group of three. */
 const followers = (m: ControlModel, leader: string): [string, string] => {
   const [a = "", b = ""] = m.addresses.filter((x) => x !== leader);
   return [a, b];
 };
 
 for (const count of [1, 3, 5]) {
-  test(`${count} replicas elect a leader, and an accepted version is on all of them`, async (t) => {
+  test(`${count} replicas elect a leader and replicate an accepted version to all of them`, async (t) => {
     const m = new ControlModel(count);
     await m.untilLed();
     await m.run(2000);
@@ -20,10 +20,10 @@
   });
 }
 
-test("of five that know three seeds, all five are voters before anything is acknowledged", async (t) => {
-  // Story: the control machines start with the same three seeds and no list of
-  // each other, and two may be lost at once. A change acknowledged by two of the
-  // first three would be gone if those two lost their disks.
+test("five replicas with three seeds acknowledge no change before all five are voters", async (t) => {
+  // The replicas start with the same three seeds and do not know all of each other, and
+  // two may be lost at once. A change acknowledged by only two of the first three would
+  // be lost with the disks of those two.
   const m = new ControlModel(5);
   const leader = await m.untilLed();
   t.false(m.replica(leader).isGroupComplete);
@@ -32,9 +32,9 @@
   t.is(m.replica(m.leader ?? "").voters.length, 5);
 });
 
-test("the leader is killed right after it accepted: the version stands", async (t) => {
-  // Story: an operator's change is accepted; the machine that said so loses
-  // power at once. The next leader must have the change.
+test("an accepted version survives the loss of the leader that accepted it", async (t) => {
+  // The leader loses power right after it has acknowledged a change. The next leader
+  // must have that change.
   const m = new ControlModel(3);
   const old = await m.untilLed();
   t.is(await m.apply(), "committed");
@@ -48,9 +48,9 @@
   t.is(m.replica(old).state.version, 2);
 });
 
-test("a leader cut off accepts nothing, tells nobody its document is current, and catches up", async (t) => {
-  // Story: the leading control VM is cut off for hours while operators go on.
-  // A sidecar or operator on its side must not be told an old document.
+test("a leader that is cut off accepts no change, does not serve its document as current, and catches up", async (t) => {
+  // The leader's VM is cut off for hours while operators submit changes to the others.
+  // Sidecars and operators on its side must not be served the outdated document.
   const m = new ControlModel(3);
   const old = await m.untilLed();
   await m.apply();
@@ -75,13 +75,13 @@
   cut: (m: ControlModel, leader: string, other: string) => void;
 }[] = [
   {
-    name: "the others hear the leader, it hears nobody",
+    name: "the leader's messages arrive, but no replies reach it",
     cut: (m, l, o) => {
       m.cut(o, l);
     },
   },
   {
-    name: "the leader hears the others, nobody hears it",
+    name: "the other replicas' messages reach the leader, but its own are lost",
     cut: (m, l, o) => {
       m.cut(l, o);
     },
@@ -89,9 +89,9 @@
 ];
 
 for (const c of oneWay) {
-  test(`one-way partition, ${c.name}: another leads`, async (t) => {
-    // Story: a half-broken switch. If the leader went on sending heartbeats that
-    // nobody can answer, no change could be accepted until someone noticed.
+  test(`another leader is elected in a one-way partition: ${c.name}`, async (t) => {
+    // A switch fails in one direction. If the leader kept sending heartbeats to which no
+    // reply arrives, no change could be accepted until an operator intervened.
     const m = new ControlModel(3);
     const old = await m.untilLed();
     for (const other of followers(m, old)) {
@@ -104,28 +104,28 @@
   });
 }
 
-test("a replica that comes back after hours does not unseat the leader", async (t) => {
-  // Story: a follower is cut off for long and calls for votes all the while.
-  // Its return must not cost the fleet an election.
+test("a replica that returns after hours does not depose the leader", async (t) => {
+  // A follower is cut off for a long time and keeps requesting votes. Its return must not
+  // cause an election.
   const m = new ControlModel(3);
   const leader = await m.untilLed();
-  const [away] = followers(m, leader);
-  m.isolate(away);
+  const [isolated] = followers(m, leader);
+  m.isolate(isolated);
   await m.run(20_000);
   m.heal();
   await m.run(3000);
   t.is(m.leader, leader);
-  t.true(m.replica(away).inTouch);
+  t.true(m.replica(isolated).inTouch);
 });
 
 for (const naive of [true, false]) {
   const outcome = naive
-    ? "is lost if the empty one votes"
-    : "is kept, as the empty one does not vote";
-  test(`a second VM lost right after a repair: the accepted version ${outcome}`, async (t) => {
-    // Story: version 1 is accepted by a and b while c is away. b loses its disk
-    // and is repaired; then a is lost for good. If empty b votes at once, it and
-    // c, which knows nothing of version 1, make a leader, and version 1 is gone.
+    ? "is lost if the wiped replica votes"
+    : "is kept, as the wiped replica does not vote";
+  test(`loss of a second VM right after a repair: the accepted version ${outcome}`, async (t) => {
+    // Version 1 is accepted by a and b while c is cut off. b restarts with an empty disk,
+    // and then a is lost. If b voted at once, it and c, which does not have version 1,
+    // could elect a leader, and version 1 would be lost.
     const m = new ControlModel(3, 5);
     const a = await m.untilLed();
     const [b, c] = followers(m, a);
@@ -148,10 +148,11 @@
   });
 }
 
-test("a minority that missed changes meets a wiped replica: nothing old is served, nothing is lost", async (t) => {
-  // Story: two of five are cut off while the other three accept version 2. Then one
-  // of the three loses its disk, the other two go dark, and the cut heals: three of
-  // five run, and none of them knows of version 2. They must not make a leader.
+test("a minority that missed changes cannot elect a leader together with a wiped replica", async (t) => {
+  // Two of five replicas are cut off while the other three accept version 2. Then one of
+  // those three loses its disk, the other two go down, and the partition heals: three of
+  // five run, and none of them has version 2. They must not elect a leader, which would
+  // serve an old version and lose version 2.
   const m = new ControlModel(5);
   await m.untilLed();
   await m.run(3000);
@@ -159,26 +160,26 @@
   await m.run(300);
   const leader = m.leader ?? "";
   const rest = m.addresses.filter((a) => a !== leader);
-  const [wiped = "", dark = "", behind = "", alsoBehind = ""] = rest;
+  const [wiped = "", down = "", behind = "", alsoBehind = ""] = rest;
   m.isolate(behind);
   m.isolate(alsoBehind);
   t.is(await m.apply(leader), "committed");
   await m.run(3000);
   m.kill(leader);
-  m.kill(dark);
+  m.kill(down);
   m.wipe(wiped);
   m.heal();
   m.boot(wiped);
   await m.run(8000);
   t.is(m.leader, undefined);
   m.boot(leader);
-  m.boot(dark);
+  m.boot(down);
   await m.untilLed();
   await m.run(3000);
   t.deepEqual([...new Set(versions(m))], [2]);
 });
 
-test("a repaired replica counts again once it is filled in", async (t) => {
+test("a wiped replica becomes a voter again once it has caught up", async (t) => {
   const m = new ControlModel(3);
   const a = await m.untilLed();
   await m.apply();
@@ -196,30 +197,29 @@
   t.is(m.replica(m.leader ?? "").state.version, 2);
 });
 
-test("a control machine replaced at a new address takes the place of the lost one", async (t) => {
-  // Story: a machine is gone for good; an empty one comes at another address. Four
-  // seconds later two more machines are lost, as the stated tolerance allows.
+test("a replacement at a new address becomes a voter in place of the lost machine", async (t) => {
+  // A machine is lost for good, and an empty one starts at another address. Four seconds
+  // later two more machines are lost, as the configured fault tolerance allows.
   const m = new ControlModel(5);
   await m.untilLed();
   await m.run(3000);
   t.is(await m.apply(), "committed");
-  const gone = m.addresses.find((a) => a !== m.leader) ?? "";
-  const fresh = m.replace(gone);
+  const lost = m.addresses.find((a) => a !== m.leader) ?? "";
+  const replacement = m.replace(lost);
   await m.run(4000);
   const group = m.replica(m.leader ?? "").voters.map((v) => v.address);
   t.is(group.length, 5);
-  t.true(group.includes(fresh));
-  t.false(group.includes(gone));
-  const [first = "", second = ""] = group.filter((a) => a !== fresh);
+  t.true(group.includes(replacement));
+  t.false(group.includes(lost));
+  const [first = "", second = ""] = group.filter((a) => a !== replacement);
   m.kill(first);
   m.kill(second);
   await m.untilLed();
   t.is(await m.apply(), "committed");
 });
 
-test("a leader whose disk is full passes leadership on, and changes are accepted again", async (t) => {
-  // Story: the leading machine's disk fills up. Until another one leads, no
-  // operator's change can be accepted.
+test("a leader with a full disk hands over, and changes are accepted again", async (t) => {
+  // The leader's disk fills up. No change can be accepted until another replica leads.
   const m = new ControlModel(3);
   const old = await m.untilLed();
   m.machine(old).store.refuses = true;
@@ -232,9 +232,9 @@
   t.is(m.replica(old).state.version, 1);
 });
 
-test("a planned stop of the leader costs no election timeout", async (t) => {
-  // Story: control machines are restarted in turn for an upgrade. If each stop of a
-  // leader cost a second without one, every change in that second would wait.
+test("a planned stop of the leader does not wait for an election timeout", async (t) => {
+  // Control replicas are restarted one after the other for an upgrade. Without a handover,
+  // each stop of a leader would delay all changes by about a second.
   const m = new ControlModel(3);
   const old = await m.untilLed();
   await m.run(500);
@@ -244,7 +244,7 @@
   t.not(m.leader, old);
 });
 
-test("all processes killed at the same moment come back with what was accepted", async (t) => {
+test("accepted versions survive when all processes are killed at once", async (t) => {
   const m = new ControlModel(5);
   await m.untilLed();
   await m.run(3000);
@@ -259,10 +259,10 @@
   t.is(m.replica(m.leader ?? "").state.version, 1);
 });
 
-test("all processes killed at the same moment have a leader again before callers' patience ends", async (t) => {
-  // Story: every process of the fleet is killed and back within a second. Sidecars without a disk
-  // know no document until a leader leads, and refuse all work; the replicas waited out an election
-  // timeout for a leader that could not be there: 1,040 ms on average over these seeds, now 95.
+test("a leader is elected quickly after all processes were killed at once", async (t) => {
+  // Every process is killed and restarted within a second. Sidecars without a disk have no document
+  // until there is a leader, and refuse all requests, so callers time out. With the ordinary election
+  // timeout an election took 1,040 ms on average over these seeds, with the short one 95 ms.
   const waits: number[] = [];
   for (let seed = 1; seed <= 20; seed++) {
     const m = new ControlModel(5, seed);
@@ -282,12 +282,12 @@
     waits.push(m.clock.now() - bootedAt);
   }
   const mean = waits.reduce((sum, ms) => sum + ms, 0) / waits.length;
-  t.log(`led again after ${mean} ms on average, ${Math.max(...waits)} at most`);
+  t.log(`a leader was elected after ${mean} ms on average, ${Math.max(...waits)} ms at most`);
   t.true(mean < 250);
   t.true(Math.max(...waits) < 800);
 });
 
-test("a replica that is restarted alone does not stand against a leader that the others hear", async (t) => {
+test("a replica that is restarted alone starts no election while the others hear a leader", async (t) => {
   const m = new ControlModel(5);
   const leader = await m.untilLed();
   await m.run(3000);
@@ -301,18 +301,18 @@
   t.is(m.replica(leader).term, term);
 });
 
-test("a newcomer that is lost in its turn does not cost the group another voter", async (t) => {
-  // Story: a machine is gone for good; its replacement is lost just as it has caught
-  // up, and is replaced too; then a second machine goes for good. Two places were
-  // hit, which five voters bear. If the first newcomer had been counted before the
-  // machine that it replaces was let go, three of six would be gone for ever.
+test("the loss of a replacement does not cost the group another voter", async (t) => {
+  // A machine is lost for good. Its replacement is lost too, just as it has caught up, and
+  // is itself replaced; then a second machine is lost. Two of five places are affected,
+  // which five voters tolerate. If the first replacement had become a voter before the
+  // machine that it replaces was removed, three of six voters would be lost for good.
   const m = new ControlModel(5);
   const leader = await m.untilLed();
   await m.run(3000);
   const [first = "", second = ""] = m.addresses.filter((a) => a !== leader);
-  const newcomer = m.replace(first);
+  const replacement = m.replace(first);
   await m.run(1000);
-  m.replace(newcomer);
+  m.replace(replacement);
   await m.run(800);
   m.replace(second);
   await m.run(12_000);
@@ -321,18 +321,18 @@
   t.deepEqual(group.sort(), m.addresses.sort());
 });
 
-test("a voter that was only cut off can still make up a majority after two others are gone", async (t) => {
-  // Story: one machine is cut off, another is gone for good, and its replacement asks
-  // to be let in. Whose place it takes cannot be told. Then a third machine goes for
-  // good, and the cut heals: the three that are left must still decide.
+test("a voter that was only cut off still counts towards a majority after two others are lost", async (t) => {
+  // One machine is cut off, another is lost for good, and its replacement requests to join.
+  // The leader cannot tell which of the two it replaces. Then a third machine is lost, and
+  // the partition heals: the three that are left must still be able to commit.
   const m = new ControlModel(5);
   const leader = await m.untilLed();
   await m.run(3000);
-  const [away = "", gone = "", next = ""] = m.addresses.filter((a) => a !== leader);
-  m.isolate(away);
-  m.replace(gone);
+  const [isolated = "", lost = "", alsoLost = ""] = m.addresses.filter((a) => a !== leader);
+  m.isolate(isolated);
+  m.replace(lost);
   await m.run(2100);
-  m.replace(next);
+  m.replace(alsoLost);
   m.heal();
   await m.run(12_000);
   t.is(await m.apply(), "committed");
