--- a/src/control/link/GrpcReplicaLink.ts
+++ b/src/control/link/GrpcReplicaLink.ts
@@ -8,7 +8,7 @@
 import type { ReplicaProto } from "./ReplicaProto.ts";
 import { replicaWire } from "./replicaWire.ts";
 
-/** A call slower than this counts as unanswered, ms: a sync takes a few, a whole log of 2 MB some tens. */
+/** Deadline of a call, ms; a sync takes a few, and sending a whole log of 2 MB takes some tens. */
 const CALL_TIMEOUT_MS = 600;
 
 type Unary<Req, Res> = (
@@ -23,14 +23,14 @@
   Handover: Unary<ReplicaProto["HandoverRequest"], ReplicaProto["HandoverReply"]>;
 };
 
-/** {@link ReplicaLink} over gRPC, one connection to each replica. */
+/** A {@link ReplicaLink} over gRPC, with one connection to each replica. */
 export class GrpcReplicaLink implements ReplicaLink, IDisposable {
   readonly #clientClass = loadProto("replica").Replica as grpc.ServiceClientConstructor;
   readonly #clients = new Map<string, RenewedClient<ReplicaClient>>();
 
   send(address: string, req: ReplicaRequest, onReply: (reply: ReplicaReply) => void): void {
-    // A lost message is what the protocol allows for: the sender tries again in its
-    // own time, and its loss of touch is logged there.
+    // Errors are ignored: the protocol tolerates lost messages. The sender retries on its own
+    // schedule, and logs a loss of contact.
     this.#client(address)
       .call((client) => callReplica(client, req))
       .then(onReply, () => undefined);
--- a/src/control/link/ReplicaProto.ts
+++ b/src/control/link/ReplicaProto.ts
@@ -1,8 +1,8 @@
 import type { Voter } from "../log/Voter.ts";
 
 /**
- * The plain objects that proto-loader gives for `proto/replica.proto` (camel case,
- * longs as numbers, defaults filled). Kept by hand beside it.
+ * Types of the plain objects that proto-loader produces for `proto/replica.proto` (camel
+ * case, longs as numbers, defaults filled in). They have to be kept in step with it by hand.
  */
 export interface ReplicaProto {
   Voter: { id: string; address: string; zone: string };
--- a/src/control/link/replicaHandlers.ts
+++ b/src/control/link/replicaHandlers.ts
@@ -9,7 +9,7 @@
   ReplicaProto[Res]
 >;
 
-/** The gRPC handlers through which other replicas reach this one. */
+/** gRPC handlers for the requests of other replicas. */
 export function replicaHandlers(replica: Replica): grpc.UntypedServiceImplementation {
   const vote: Handler<"VoteRequest", "VoteReply"> = (call, cb) => {
     const reply = replica.receive(replicaWire.decodeVote(call.request));
@@ -20,8 +20,8 @@
     cb(null, replicaWire.encodeAppendReply(reply));
   };
   const join: Handler<"JoinRequest", "JoinReply"> = (call, cb) => {
-    const { replica: who } = call.request;
-    const reply = who && replica.receive({ kind: "join", replica: who });
+    const { replica: learner } = call.request;
+    const reply = learner && replica.receive({ kind: "join", replica: learner });
     cb(null, { leader: reply?.kind === "join" ? reply.leader : "" });
   };
   const handover: Handler<"HandoverRequest", "HandoverReply"> = (call, cb) => {
--- a/src/control/link/replicaWire.ts
+++ b/src/control/link/replicaWire.ts
@@ -6,7 +6,7 @@
 
 type Proto<K extends keyof ReplicaProto> = ReplicaProto[K];
 
-/** Replicas' messages to and from their form in `proto/replica.proto`. */
+/** Converts messages between replicas to and from the types of `proto/replica.proto`. */
 export const replicaWire = {
   encodeAppend: (req: AppendRequest): Proto<"AppendRequest"> => ({
     ...req,
@@ -31,26 +31,26 @@
   }),
 
   encodeAppendReply: (reply: ReplicaReply): Proto<"AppendReply"> => {
-    const nothing = { term: 0, ok: false, matched: -1, stranger: "" };
+    const rejected = { term: 0, ok: false, matched: -1, stranger: "" };
     switch (reply.kind) {
       case "append":
-        return { ...nothing, ...reply };
+        return { ...rejected, ...reply };
       case "stranger":
-        return { ...nothing, stranger: reply.id };
+        return { ...rejected, stranger: reply.id };
       default:
-        return nothing;
+        return rejected;
     }
   },
 
   encodeVoteReply: (reply: ReplicaReply): Proto<"VoteReply"> => {
-    const nothing = { term: 0, granted: false, stranger: "" };
+    const rejected = { term: 0, granted: false, stranger: "" };
     switch (reply.kind) {
       case "vote":
-        return { ...nothing, ...reply };
+        return { ...rejected, ...reply };
       case "stranger":
-        return { ...nothing, stranger: reply.id };
+        return { ...rejected, stranger: reply.id };
       default:
-        return nothing;
+        return rejected;
     }
   },
 
