--- a/src/control/service/ApplyOutcome.ts
+++ b/src/control/service/ApplyOutcome.ts
@@ -1,15 +1,15 @@
-/** Control's answer to one order. */
+/** Outcome of a change request. */
 export type ApplyOutcome =
   | { readonly kind: "accepted"; readonly version: number }
-  /** Another version than the one that the order builds on is in force. */
+  /** The current version is not the one that the change request is based on. */
   | { readonly kind: "conflict"; readonly version: number; readonly message: string }
   | { readonly kind: "invalid"; readonly version: number; readonly message: string }
-  /** Nothing was done; ask the leader, at `leaderApi` where it is known, or another replica. */
+  /** Nothing was changed; retry at the leader, at `leaderApi` if known, or at another replica. */
   | {
       readonly kind: "not-leader";
       readonly version: number;
       readonly message: string;
       readonly leaderApi?: string;
     }
-  /** It may or may not be accepted: send it again with the same order id. */
+  /** The change may or may not have been accepted: resend it with the same order id. */
   | { readonly kind: "unknown"; readonly version: number; readonly message: string };
--- a/src/control/service/ChangeRequest.ts
+++ b/src/control/service/ChangeRequest.ts
@@ -1,27 +1,27 @@
-/** Items of one table of the document that an order sets, not checked yet, and names that it drops. */
-interface TableOrder {
+/** Changes to one table of the document: items to add or replace, not validated yet, and names of items to remove. */
+interface TableEdit {
   readonly set: readonly unknown[];
   readonly drop: readonly string[];
 }
 
-/** What every order says. */
-interface OrderHead {
-  /** Names this order, so that it is known again when it is sent once more. */
+/** Fields of every change request. */
+interface ChangeRequestBase {
+  /** Id of this change request, by which a resend is recognized. */
   readonly orderId: string;
-  /** The version that the document is to have. */
+  /** Document version after the change. */
   readonly version: number;
-  /** The version that the order builds on. */
+  /** Document version that the change is based on. */
   readonly base: number;
 }
 
-/** An operator's order to change the document; its content is checked only when it is weighed. */
-export type ChangeRequest = OrderHead &
+/** An operator's request to change the document; its content is validated when it is evaluated. */
+export type ChangeRequest = ChangeRequestBase &
   (
     | { readonly kind: "replace"; readonly document: unknown }
     | {
         readonly kind: "edit";
-        readonly services: TableOrder;
-        readonly routes: TableOrder;
+        readonly services: TableEdit;
+        readonly routes: TableEdit;
         readonly limits?: unknown;
       }
   );
--- a/src/control/service/evaluateChange.ts
+++ b/src/control/service/evaluateChange.ts
@@ -6,48 +6,48 @@
 import type { ApplyOutcome } from "./ApplyOutcome.ts";
 import type { ChangeRequest } from "./ChangeRequest.ts";
 
-/** Problems named in one answer, at most: a document of 40,000 routes may have as many. */
+/** Maximum number of problems listed in a reply; a document with 40,000 routes may have that many. */
 const MAX_PROBLEMS = 20;
 
 /**
- * Decides an order against the state in force: the change that it makes, or the
- * answer to it when there is none to make. One that was accepted before is
- * acknowledged again, however long ago and whatever came since.
+ * Evaluates a change request against the current state. Returns the change to propose, or an
+ * answer if there is nothing to propose. A request that was accepted before is acknowledged
+ * again, regardless of any changes since.
  */
 export function evaluateChange(
   current: ConfigState,
-  order: ChangeRequest,
+  req: ChangeRequest,
 ): { propose: AcceptedChange } | { answer: ApplyOutcome } {
   const { version } = current;
-  const earlier = current.versionOf(order.orderId);
-  if (earlier !== undefined) {
-    return { answer: { kind: "accepted", version: earlier } };
+  const acceptedVersion = current.versionOf(req.orderId);
+  if (acceptedVersion !== undefined) {
+    return { answer: { kind: "accepted", version: acceptedVersion } };
   }
-  if (order.base !== version) {
-    const message = `expected version ${order.base}, current is ${version}`;
+  if (req.base !== version) {
+    const message = `expected version ${req.base}, current is ${version}`;
     return { answer: { kind: "conflict", version, message } };
   }
-  if (!Number.isSafeInteger(order.version) || order.version <= version) {
-    const message = `version ${order.version} is not above the current one, ${version}`;
+  if (!Number.isSafeInteger(req.version) || req.version <= version) {
+    const message = `version ${req.version} is not above the current one, ${version}`;
     return { answer: { kind: "invalid", version, message } };
   }
-  const validated = validateDocument(ordered(current.document, order));
+  const validated = validateDocument(requestedDocument(current.document, req));
   if (!validated.ok) {
-    return { answer: { kind: "invalid", version, message: describe(validated) } };
+    return { answer: { kind: "invalid", version, message: describeProblems(validated) } };
   }
   const edit = diffDocuments(current.document, validated.doc);
-  return { propose: { version: order.version, orderId: order.orderId, edit } };
+  return { propose: { version: req.version, orderId: req.orderId, edit } };
 }
 
-/** The whole document as the order wants it, not checked yet. */
-function ordered(current: OperatorDocument, order: ChangeRequest): unknown {
-  if (order.kind === "replace") {
-    return order.document;
+/** The whole document after the requested change, not validated yet. */
+function requestedDocument(current: OperatorDocument, req: ChangeRequest): unknown {
+  if (req.kind === "replace") {
+    return req.document;
   }
   return {
-    services: mergeTable(current.services, order.services.set, order.services.drop),
-    routes: mergeTable(current.routes, order.routes.set, order.routes.drop),
-    limits: order.limits ?? current.limits,
+    services: mergeTable(current.services, req.services.set, req.services.drop),
+    routes: mergeTable(current.routes, req.routes.set, req.routes.drop),
+    limits: req.limits ?? current.limits,
   };
 }
 
@@ -57,23 +57,25 @@
   drop: readonly string[],
 ): unknown[] {
   const nameOf = (item: unknown) => (item as { name?: unknown } | null)?.name;
-  const setNames = new Map(set.map((item) => [nameOf(item), item]));
+  const replacements = new Map(set.map((item) => [nameOf(item), item]));
   const dropped = new Set(drop);
   const kept = items
     .filter((item) => !dropped.has(item.name))
     .map((item) => {
-      const replaced = setNames.get(item.name);
-      setNames.delete(item.name);
-      return replaced ?? item;
+      const replacement = replacements.get(item.name);
+      replacements.delete(item.name);
+      return replacement ?? item;
     });
-  return [...kept, ...setNames.values()];
+  return [...kept, ...replacements.values()];
 }
 
-function describe(found: Extract<ReturnType<typeof validateDocument>, { ok: false }>): string {
+function describeProblems(
+  failure: Extract<ReturnType<typeof validateDocument>, { ok: false }>,
+): string {
   const problems = [
-    ...found.issues.map((i) => `${i.path.join(".")}: ${i.message}`),
-    ...found.across.map((v) => `${v.path.join(".")}: ${v.message}`),
+    ...failure.issues.map((i) => `${i.path.join(".")}: ${i.message}`),
+    ...failure.across.map((v) => `${v.path.join(".")}: ${v.message}`),
   ];
-  const more = problems.length - MAX_PROBLEMS;
-  return problems.slice(0, MAX_PROBLEMS).join("; ") + (more > 0 ? `; and ${more} more` : "");
+  const omitted = problems.length - MAX_PROBLEMS;
+  return problems.slice(0, MAX_PROBLEMS).join("; ") + (omitted > 0 ? `; and ${omitted} more` : "");
 }
