--- a/src/control/service/ControlService.ts
+++ b/src/control/service/ControlService.ts
@@ -6,27 +6,28 @@
 import type { ChangeRequest } from "./ChangeRequest.ts";
 import { evaluateChange } from "./evaluateChange.ts";
 
-/** Refusals remembered here, so that a resend of one is refused again. */
-const REMEMBERED_REFUSALS = 4096;
+/** Number of conflicts that are remembered, so that a resend of a refused change is refused again. */
+const MAX_REMEMBERED_CONFLICTS = 4096;
 
 /**
- * The first acknowledgement waits for a group that bears the stated losses; where
- * there are not as many machines as that takes, it waits this long and no longer,
- * ms: the others start within a second of each other.
+ * How long after its start this replica acknowledges no first change while the group is too
+ * small for the configured fault tolerance, ms. The replicas start within a second of each
+ * other; the limit allows operation with fewer machines than the tolerance needs.
  */
-const GROUP_WAIT_MS = 6000;
+const GROUP_COMPLETE_TIMEOUT_MS = 6000;
 
 /**
- * Orders and reads over one {@link Replica}: compare-and-set on the version, and
- * the same answer again to an order that is sent again, so racing operators get
- * exactly one winner and a resend after a lost answer is answered, not applied twice.
+ * Handles change requests and reads through one {@link Replica}. A change is applied by
+ * compare-and-set on the version, so that exactly one of several racing changes succeeds.
+ * A resent request gets the same reply as before, so that a resend after a lost reply is
+ * not applied twice.
  */
 export class ControlService {
   readonly #replica: Replica;
   readonly #log: bunyan;
   readonly #clock: Clock;
   readonly #startedAt: number;
-  readonly #refusals = new Map<string, ApplyOutcome>();
+  readonly #conflicts = new Map<string, ApplyOutcome>();
 
   constructor(replica: Replica, clock: Clock, log: bunyan) {
     this.#replica = replica;
@@ -35,37 +36,37 @@
     this.#startedAt = clock.now();
   }
 
-  /** Decides one order; resolves once its answer is certain, or cannot be for now. */
-  async apply(order: ChangeRequest): Promise<ApplyOutcome> {
-    const outcome = this.#refusals.get(order.orderId) ?? (await this.#decide(order));
-    this.#remember(order.orderId, outcome);
-    const { orderId, version, base } = order;
-    this.#log.info({ orderId, version, base, outcome }, "order decided");
+  /** Handles one change request; resolves once its outcome is known, or is known to be uncertain. */
+  async apply(req: ChangeRequest): Promise<ApplyOutcome> {
+    const outcome = this.#conflicts.get(req.orderId) ?? (await this.#decide(req));
+    this.#rememberConflict(req.orderId, outcome);
+    const { orderId, version, base } = req;
+    this.#log.info({ orderId, version, base, outcome }, "change request decided");
     return outcome;
   }
 
   /**
-   * The state in force, confirmed by a quorum after the call began; undefined where
-   * this replica cannot be sure of it.
+   * Returns the current state, confirmed by a quorum after the call began; undefined if this
+   * replica does not lead or cannot confirm the state.
    */
   read(): Promise<ConfigState | undefined> {
     return this.#replica.readCurrent();
   }
 
-  /** Where operators reach the leader, as far as known and when it is not this replica. */
+  /** API address of the leader for operators; undefined if it is unknown or this replica leads. */
   get leaderApi(): string | undefined {
     const { leader } = this.#replica;
     return leader && leader.id !== this.#replica.id ? leader.api : undefined;
   }
 
-  async #decide(order: ChangeRequest): Promise<ApplyOutcome> {
+  async #decide(req: ChangeRequest): Promise<ApplyOutcome> {
     const { version } = this.#replica.state;
-    if (version === 0 && !this.#mayAcknowledge) {
+    if (version === 0 && !this.#canAcknowledge) {
       const message = "the control group is not complete yet";
       return { kind: "not-leader", version, message, leaderApi: this.leaderApi };
     }
     const proposed = await this.#replica.propose<ApplyOutcome>((current) =>
-      evaluateChange(current, order),
+      evaluateChange(current, req),
     );
     switch (proposed.kind) {
       case "committed":
@@ -81,18 +82,21 @@
     }
   }
 
-  get #mayAcknowledge(): boolean {
-    return this.#replica.isGroupComplete || this.#clock.now() - this.#startedAt > GROUP_WAIT_MS;
+  get #canAcknowledge(): boolean {
+    return (
+      this.#replica.isGroupComplete ||
+      this.#clock.now() - this.#startedAt > GROUP_COMPLETE_TIMEOUT_MS
+    );
   }
 
-  #remember(orderId: string, outcome: ApplyOutcome): void {
+  #rememberConflict(orderId: string, outcome: ApplyOutcome): void {
     if (outcome.kind !== "conflict") {
-      return; // An invalid document will be mended, and may keep its order id.
+      return; // An invalid document may be corrected and resent with the same order id.
     }
-    this.#refusals.set(orderId, outcome);
-    const [oldest] = this.#refusals.keys();
-    if (this.#refusals.size > REMEMBERED_REFUSALS && oldest !== undefined) {
-      this.#refusals.delete(oldest);
+    this.#conflicts.set(orderId, outcome);
+    const [oldest] = this.#conflicts.keys();
+    if (this.#conflicts.size > MAX_REMEMBERED_CONFLICTS && oldest !== undefined) {
+      this.#conflicts.delete(oldest);
     }
   }
 }
