--- a/src/control/service/DocumentWatchers.ts
+++ b/src/control/service/DocumentWatchers.ts
@@ -3,96 +3,96 @@
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
 import type { Replica } from "../replica/Replica.ts";
 
-/** How often a follower hears that its watch is alive, ms. */
+/** Interval between the heartbeats on a watch, ms. */
 const HEARTBEAT_MS = 1000;
 
-/** The way to one follower of the document. */
-interface WatcherLink {
+/** The stream to one watcher. */
+interface WatchStream {
   readonly send: (update: DocumentUpdate) => void;
-  /** Told the committed version; left out, the follower has not asked for heartbeats. */
-  readonly beat?: (version: number) => void;
+  /** Sends a heartbeat with the committed version; undefined if the watcher has not requested heartbeats. */
+  readonly sendHeartbeat?: (version: number) => void;
   readonly end: () => void;
 }
 
-/** One follower of the document. */
+/** A client that watches the document. */
 interface Watcher {
-  /** The version that it has. */
+  /** The latest version that was sent to it, or that it had when it connected. */
   version: number;
-  readonly link: WatcherLink;
+  readonly stream: WatchStream;
 }
 
 /**
- * Followers of the document at this replica: each is sent what it lacks, now and
- * with every committed change. A replica out of touch with a quorum ends them, so
- * that they move on to one that is not: what it holds may be hours old.
+ * The watchers of the document at this replica. Each is sent the updates that it lacks when
+ * it is added and after every commit. A replica that loses contact with the quorum ends all
+ * watches, so that the watchers reconnect to another replica: its document may be hours old.
  */
 export class DocumentWatchers implements IDisposable {
   readonly #replica: Pick<Replica, "inTouch" | "onChange" | "state">;
   readonly #watchers = new Set<Watcher>();
-  readonly #stopListening: () => void;
+  readonly #removeListener: () => void;
   readonly #heartbeats: IDisposable;
 
   constructor(replica: Pick<Replica, "inTouch" | "onChange" | "state">) {
     this.#replica = replica;
     this.#heartbeats = every(HEARTBEAT_MS, () => {
-      this.#beat();
+      this.#sendHeartbeats();
     });
-    this.#stopListening = replica.onChange(() => {
-      this.#serve();
+    this.#removeListener = replica.onChange(() => {
+      this.#updateAll();
     });
   }
 
-  /** How many follow the document here. */
+  /** Number of watchers. */
   get count(): number {
     return this.#watchers.size;
   }
 
-  /** Adds a follower that has `version`; returns how to remove it, or undefined where it must go elsewhere. */
-  add(version: number, link: WatcherLink): (() => void) | undefined {
+  /** Adds a watcher that has `version`; returns a function that removes it, or undefined if it has to use another replica. */
+  add(version: number, stream: WatchStream): (() => void) | undefined {
     if (!this.#replica.inTouch) {
       return undefined;
     }
-    const watcher = { version, link };
+    const watcher = { version, stream };
     this.#watchers.add(watcher);
-    link.beat?.(version);
-    this.#bringUpToDate(watcher);
+    stream.sendHeartbeat?.(version);
+    this.#sendUpdates(watcher);
     return () => this.#watchers.delete(watcher);
   }
 
-  /** Ends every watch, so that the server can stop. */
+  /** Ends all watches, so that the server can stop. */
   dispose(): void {
     void this.#heartbeats.dispose();
-    this.#stopListening();
+    this.#removeListener();
     this.#endAll();
   }
 
-  #serve(): void {
+  #updateAll(): void {
     if (!this.#replica.inTouch) {
       this.#endAll();
       return;
     }
     for (const watcher of this.#watchers) {
-      this.#bringUpToDate(watcher);
+      this.#sendUpdates(watcher);
     }
   }
 
-  #beat(): void {
+  #sendHeartbeats(): void {
     const { version } = this.#replica.state;
-    for (const { link } of this.#watchers) {
-      link.beat?.(version);
+    for (const { stream } of this.#watchers) {
+      stream.sendHeartbeat?.(version);
     }
   }
 
-  #bringUpToDate(watcher: Watcher): void {
+  #sendUpdates(watcher: Watcher): void {
     for (const update of this.#replica.state.history.since(watcher.version)) {
       watcher.version = update.version;
-      watcher.link.send(update);
+      watcher.stream.send(update);
     }
   }
 
   #endAll(): void {
-    for (const { link } of this.#watchers) {
-      link.end();
+    for (const { stream } of this.#watchers) {
+      stream.end();
     }
     this.#watchers.clear();
   }
--- a/src/control/service/controlHandlers.ts
+++ b/src/control/service/controlHandlers.ts
@@ -9,7 +9,7 @@
 
 type WatchCall = grpc.ServerWritableStream<ProtoTypes["WatchRequest"], ProtoTypes["ConfigVersion"]>;
 
-/** The gRPC handlers of the Control service: for the CLI, and for sidecars that follow the document. */
+/** gRPC handlers of the Control service, for the CLI and for sidecars that watch the document. */
 export function controlHandlers(
   service: ControlService,
   watchers: DocumentWatchers,
@@ -29,29 +29,29 @@
     );
   };
   const watch = (call: WatchCall): void => {
-    // Tells the follower at once that its watch was taken on, before there is any news.
+    // Confirms the watch at once, before there is an update to send.
     call.sendMetadata(new grpc.Metadata());
     const { have_version: version, heartbeats } = call.request;
-    const beat = (committed: number) => {
+    const sendHeartbeat = (committed: number) => {
       call.write(documentWire.heartbeat(committed));
     };
-    const stop = watchers.add(version, {
+    const removeWatcher = watchers.add(version, {
       send: (update) => {
-        const whole = documentWire.encode(update);
-        const parts = heartbeats ? splitVersion(whole) : [whole];
+        const message = documentWire.encode(update);
+        const parts = heartbeats ? splitVersion(message) : [message];
         parts.forEach((part) => call.write(part));
       },
-      beat: heartbeats ? beat : undefined,
+      sendHeartbeat: heartbeats ? sendHeartbeat : undefined,
       end: () => {
         call.end();
       },
     });
-    if (!stop) {
+    if (!removeWatcher) {
       call.emit("error", { code: grpc.status.UNAVAILABLE, details: "out of touch with a quorum" });
       return;
     }
-    call.on("cancelled", stop);
-    call.on("close", stop);
+    call.on("cancelled", removeWatcher);
+    call.on("close", removeWatcher);
   };
   const current: grpc.handleUnaryCall<unknown, ProtoTypes["ConfigVersion"]> = (_call, cb) => {
     void service.read().then((state) => {
@@ -81,7 +81,7 @@
     kind: "replace",
     orderId: req.request_id,
     base: req.expected_version,
-    // 0 leaves the choice to control: the next number.
+    // Version 0 requests the next number.
     version: req.version > 0 ? req.version : req.expected_version + 1,
     document: parsed.doc,
   });
