--- a/src/control/ControlMetrics.test.ts
+++ b/src/control/ControlMetrics.test.ts
@@ -3,7 +3,7 @@
 import { ControlMetrics } from "./ControlMetrics.ts";
 import { ConfigState } from "./log/ConfigState.ts";
 
-test("control metrics: leaders are counted when they change, and writes by their time", async (t) => {
+test("control metrics count a leader only when it changes, and record writes by duration", async (t) => {
   const listeners: (() => void)[] = [];
   const replica = {
     state: new ConfigState(),
@@ -17,14 +17,14 @@
     },
   };
   const metrics = new ControlMetrics();
-  metrics.watch(replica, { count: 3 });
+  metrics.observe(replica, { count: 3 });
   for (const leader of ["a", "a", "b"]) {
     replica.leader = { id: ReplicaId(leader), api: "" };
-    listeners.forEach((tell) => {
-      tell();
+    listeners.forEach((listener) => {
+      listener();
     });
   }
-  metrics.wrote(450);
+  metrics.observeWrite(450);
   const text = await metrics.registry.metrics();
   for (const line of [
     "burdockpass_control_leader_changes_total 2",
--- a/src/control/ControlRole.ts
+++ b/src/control/ControlRole.ts
@@ -152,7 +152,7 @@
         random: Math.random,
         logger: this.#log,
         onWrite: (ms) => {
-          this.#metrics.wrote(ms);
+          this.#metrics.observeWrite(ms);
         },
       }),
     );
@@ -183,7 +183,7 @@
 
   #adminServer(replica: Replica, watchers: DocumentWatchers) {
     const { registry } = this.#metrics;
-    this.#metrics.watch(replica, watchers);
+    this.#metrics.observe(replica, watchers);
     return createServer((req, res) => {
       if (req.url !== "/metrics") {
         sendJson(res, 200, this.#status(replica));
