--- a/src/control/service/ControlService.test.ts
+++ b/src/control/service/ControlService.test.ts
@@ -15,8 +15,8 @@
 const doc = readFileSync(new URL("../../../config/demo.yaml", import.meta.url), "utf8");
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** An order for a whole document, as the CLI makes it: the version is the next one. */
-const order = (raw: {
+/** A request to replace the whole document, as the CLI sends it; the version defaults to the next one. */
+const replaceRequest = (raw: {
   document: string;
   expected_version: number;
   request_id: string;
@@ -29,10 +29,10 @@
   orderId: raw.request_id,
 });
 
-/** A replica of its own, leading from its first election on. */
-const open = async (dir: string) => {
+/** A control service on a group of one replica, which becomes the leader in its first election. */
+const openService = async (dir: string) => {
   const clock = new FakeClock();
-  const first = {
+  const initial = {
     id: ReplicaId("only"),
     voters: [{ id: ReplicaId("only"), address: "only", zone: "" }],
   };
@@ -40,7 +40,7 @@
     self: { address: "only", zone: "", api: "only" },
     contacts: () => [],
     wantedVoters: 1,
-    log: new ReplicatedLog(new FileReplicaStore(dir), () => first),
+    log: new ReplicatedLog(new FileReplicaStore(dir), () => initial),
     link: { send: () => undefined },
     timing: {
       heartbeatMs: 50,
@@ -60,21 +60,21 @@
   return { service: new ControlService(replica, clock, log), replica };
 };
 
-const fresh = async () => {
+const openEmpty = async () => {
   const dir = mkdtempSync(join(tmpdir(), "bp-control-"));
-  return { dir, ...(await open(dir)) };
+  return { dir, ...(await openService(dir)) };
 };
 
-test("two operators race with the same expected version: exactly one wins", async (t) => {
-  // Story: Ada and Ben both read version 0 and apply different changes at once.
-  // Both say "expected 0". Only one may be accepted; the other must be told of
-  // the conflict, or one operator's change silently overwrites the other's.
-  const { service } = await fresh();
+test("only one of two racing changes with the same expected version is accepted", async (t) => {
+  // Two operators read version 0 and apply different changes at once, both with expected
+  // version 0. The second one must get a conflict; otherwise it would silently overwrite
+  // the first change.
+  const { service } = await openEmpty();
   const ada = await service.apply(
-    order({ document: doc, expected_version: 0, request_id: "ada-1" }),
+    replaceRequest({ document: doc, expected_version: 0, request_id: "ada-1" }),
   );
   const ben = await service.apply(
-    order({
+    replaceRequest({
       document: doc.replace("floor: 0.25", "floor: 0.3"),
       expected_version: 0,
       request_id: "ben-1",
@@ -84,20 +84,19 @@
   t.is(ben.kind, "conflict");
 });
 
-test("a resend after a lost answer gets the first answer, not a second version", async (t) => {
-  // Story: an operator applies, the answer is lost on the way back, the CLI
-  // resends with the same request id. Control must not make version 2 out of
-  // the resend, nor answer "conflict" for a change that did go in.
-  const { service } = await fresh();
+test("a resend after a lost reply gets the first reply and does not create a second version", async (t) => {
+  // The reply to a change is lost, and the CLI resends the change with the same request id.
+  // The resend must neither create version 2 nor be refused as a conflict.
+  const { service } = await openEmpty();
   const first = await service.apply(
-    order({ document: doc, expected_version: 0, request_id: "r-1" }),
+    replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }),
   );
   const resend = await service.apply(
-    order({ document: doc, expected_version: 0, request_id: "r-1" }),
+    replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }),
   );
   t.deepEqual(resend, first);
   t.deepEqual(
-    await service.apply(order({ document: doc, expected_version: 1, request_id: "r-2" })),
+    await service.apply(replaceRequest({ document: doc, expected_version: 1, request_id: "r-2" })),
     {
       kind: "accepted",
       version: 2,
@@ -106,9 +105,9 @@
 });
 
 test("an invalid document changes nothing", async (t) => {
-  const { service } = await fresh();
+  const { service } = await openEmpty();
   const bad = await service.apply(
-    order({
+    replaceRequest({
       document: "services: []\n",
       expected_version: 0,
       request_id: "bad",
@@ -116,7 +115,7 @@
   );
   t.is(bad.kind, "invalid");
   t.deepEqual(
-    await service.apply(order({ document: doc, expected_version: 0, request_id: "good" })),
+    await service.apply(replaceRequest({ document: doc, expected_version: 0, request_id: "good" })),
     {
       kind: "accepted",
       version: 1,
@@ -124,14 +123,16 @@
   );
 });
 
-test("an accepted version and its answers survive a restart of control", async (t) => {
-  // Story: control accepts version 1 and is killed; after the restart a resend
-  // of the same request must still get "accepted, 1", and version 1 must stand.
-  const { dir, service } = await fresh();
-  await service.apply(order({ document: doc, expected_version: 0, request_id: "r-1" }));
-  const reopened = await open(dir);
+test("an accepted version and its reply survive a restart of the control replica", async (t) => {
+  // The replica accepts version 1 and is killed. After the restart, version 1 must still be
+  // the current one, and a resend of the request must still be acknowledged with version 1.
+  const { dir, service } = await openEmpty();
+  await service.apply(replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }));
+  const reopened = await openService(dir);
   t.deepEqual(
-    await reopened.service.apply(order({ document: doc, expected_version: 0, request_id: "r-1" })),
+    await reopened.service.apply(
+      replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }),
+    ),
     {
       kind: "accepted",
       version: 1,
@@ -140,26 +141,34 @@
   t.is(reopened.replica.state.version, 1);
 });
 
-test("a change that was refused is refused again when it is resent", async (t) => {
-  // Story: an operator's change expects version 1, which is not there yet, and
-  // is refused. Version 1 comes; the refused change is resent by a retrying
-  // script. What the operator was told is refused must not come into force.
-  const { service } = await fresh();
-  const early = order({ document: doc, expected_version: 1, request_id: "early" });
+test("a refused change is refused again when it is resent", async (t) => {
+  // A change that expects version 1 is refused, because the current version is 0. Then
+  // version 1 is accepted, and a script resends the refused change. The operator was told
+  // that it was refused, so it must not take effect now.
+  const { service } = await openEmpty();
+  const early = replaceRequest({ document: doc, expected_version: 1, request_id: "early" });
   t.is((await service.apply(early)).kind, "conflict");
-  await service.apply(order({ document: doc, expected_version: 0, request_id: "r-1" }));
+  await service.apply(replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }));
   t.is((await service.apply(early)).kind, "conflict");
 });
 
-test("an order that was accepted long ago is acknowledged again, whatever came since", async (t) => {
-  // Story: the answer to an operator's change is lost; the operator's tool sends it
-  // again, but meanwhile another change has come. Told of a conflict, the operator
-  // would make the change once more.
-  const { service } = await fresh();
-  const first = order({ document: doc, expected_version: 0, request_id: "first", version: 7 });
+test("a resend of an accepted change is acknowledged again after many later changes", async (t) => {
+  // The reply to a change is lost, and other changes are accepted before it is resent. If
+  // the resend got a conflict, the operator would make the change a second time.
+  const { service } = await openEmpty();
+  const first = replaceRequest({
+    document: doc,
+    expected_version: 0,
+    request_id: "first",
+    version: 7,
+  });
   t.deepEqual(await service.apply(first), { kind: "accepted", version: 7 });
   for (let n = 0; n < 50; n++) {
-    const next = order({ document: doc, expected_version: 7 + n, request_id: `next-${n}` });
+    const next = replaceRequest({
+      document: doc,
+      expected_version: 7 + n,
+      request_id: `next-${n}`,
+    });
     t.is((await service.apply(next)).kind, "accepted");
   }
   t.deepEqual(await service.apply(first), { kind: "accepted", version: 7 });
@@ -167,17 +176,17 @@
 
 type Kind = Awaited<ReturnType<ControlService["apply"]>>["kind"];
 
-const versions: readonly { name: string; base: number; version: number; kind: Kind }[] = [
+const versionCases: readonly { name: string; base: number; version: number; kind: Kind }[] = [
   { name: "versions may leave gaps", base: 1, version: 9, kind: "accepted" },
   { name: "the same version as the current one", base: 1, version: 1, kind: "invalid" },
   { name: "a version below the current one", base: 1, version: 0, kind: "invalid" },
-  { name: "a base that is not the current version", base: 0, version: 5, kind: "conflict" },
+  { name: "a base version that is not the current one", base: 0, version: 5, kind: "conflict" },
 ];
 
-for (const c of versions) {
-  test(`${c.name}: ${c.kind}`, async (t) => {
-    const { service } = await fresh();
-    await service.apply(order({ document: doc, expected_version: 0, request_id: "r-1" }));
+for (const c of versionCases) {
+  test(`version check: ${c.name}: ${c.kind}`, async (t) => {
+    const { service } = await openEmpty();
+    await service.apply(replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }));
     const outcome = await service.apply({
       kind: "replace",
       document: parse(doc) as unknown,
@@ -189,7 +198,7 @@
   });
 }
 
-const edit = (over: Partial<Extract<ChangeRequest, { kind: "edit" }>>): ChangeRequest => ({
+const editRequest = (over: Partial<Extract<ChangeRequest, { kind: "edit" }>>): ChangeRequest => ({
   kind: "edit",
   orderId: "edit",
   base: 1,
@@ -200,48 +209,48 @@
 });
 const route = { name: "r", prefix: "/x/", idempotent: true, timeoutMs: 100, attempts: 1 };
 
-const edits: readonly {
+const editCases: readonly {
   name: string;
-  order: ChangeRequest;
+  req: ChangeRequest;
   kind: Kind;
   routes?: readonly string[];
 }[] = [
   {
     name: "a route is added",
-    order: edit({ routes: { set: [{ ...route, service: "oljelab-results" }], drop: [] } }),
+    req: editRequest({ routes: { set: [{ ...route, service: "oljelab-results" }], drop: [] } }),
     kind: "accepted",
     routes: ["r"],
   },
   {
     name: "a route to an unknown service",
-    order: edit({ routes: { set: [{ ...route, service: "nobody" }], drop: [] } }),
+    req: editRequest({ routes: { set: [{ ...route, service: "nobody" }], drop: [] } }),
     kind: "invalid",
   },
   {
     name: "a route without a timeout",
-    order: edit({
+    req: editRequest({
       routes: { set: [{ ...route, timeoutMs: 0, service: "oljelab-results" }], drop: [] },
     }),
     kind: "invalid",
   },
   {
-    name: "a route that is no object",
-    order: edit({ routes: { set: [null], drop: [] } }),
+    name: "a route that is not an object",
+    req: editRequest({ routes: { set: [null], drop: [] } }),
     kind: "invalid",
   },
   {
-    name: "dropping a route that is not there",
-    order: edit({ routes: { set: [], drop: ["gone"] } }),
+    name: "removing a route that does not exist",
+    req: editRequest({ routes: { set: [], drop: ["gone"] } }),
     kind: "accepted",
     routes: [],
   },
 ];
 
-for (const c of edits) {
-  test(`an edit: ${c.name}: ${c.kind}`, async (t) => {
-    const { service, replica } = await fresh();
-    await service.apply(order({ document: doc, expected_version: 0, request_id: "r-1" }));
-    t.is((await service.apply(c.order)).kind, c.kind);
+for (const c of editCases) {
+  test(`edit request: ${c.name}: ${c.kind}`, async (t) => {
+    const { service, replica } = await openEmpty();
+    await service.apply(replaceRequest({ document: doc, expected_version: 0, request_id: "r-1" }));
+    t.is((await service.apply(c.req)).kind, c.kind);
     t.is(replica.state.version, c.kind === "accepted" ? 2 : 1);
     t.is(replica.state.document.services.length, 4);
     t.deepEqual(
