--- a/src/control/ControlRole.ts
+++ b/src/control/ControlRole.ts
@@ -31,9 +31,9 @@
 import { DocumentWatchers } from "./service/DocumentWatchers.ts";
 
 /**
- * Between zones 1.5 ms apart; a sync takes 2 ms, of a slow disk up to 70. A lost leader
- * is followed by another within two seconds, so that an order sent meanwhile is
- * acknowledged within four.
+ * Timing for zones 1.5 ms apart and disks on which a sync takes 2 ms, or up to 70 on a slow
+ * one. A lost leader is replaced within two seconds, so that a change request sent in the
+ * meantime is acknowledged within four.
  */
 const TIMING: ReplicaTiming = {
   heartbeatMs: 150,
@@ -45,12 +45,13 @@
   joinMs: 300,
 };
 
-/** Longest that a stop waits for followers of the document to go elsewhere, ms. */
+/** Maximum time that a stop waits for open calls, such as document watches, to end, ms. */
 const STOP_GRACE_MS = 500;
 
 /**
- * A control replica: one of three or five that agree on the accepted operators'
- * document, hold it on disk, and serve it to sidecars and the CLI over gRPC.
+ * The control role of the daemon: one of three or five control replicas, which agree on the
+ * operators' configuration document, store it on disk, and serve it to sidecars and the CLI
+ * over gRPC.
  */
 export class ControlRole extends Disposable {
   #cfg: ControlSettings;
@@ -64,7 +65,7 @@
     this.#log = log;
   }
 
-  /** Orders and reads; there once {@link start} has returned. */
+  /** Handles change requests and reads; available once {@link start} has resolved. */
   get service(): ControlService {
     if (!this.#service) {
       throw new Error("the control role has not started");
@@ -72,7 +73,7 @@
     return this.#service;
   }
 
-  /** Opens the log, joins the fleet and the control group, and starts the servers. */
+  /** Opens the log, joins the membership and the control group, and starts the servers. */
   async start(): Promise<void> {
     const { listen } = this.#cfg;
     const replica = this.#openReplica();
@@ -83,7 +84,7 @@
     const peerService = (proto.Peer as grpc.ServiceClientConstructor).service;
     const link = new DatagramLink(SystemClock, () => undefined);
     const clients = this.register(new PeerClients(peerService));
-    const membership = this.#joinFleet(replica, new NetworkPeers(clients, link));
+    const membership = this.#createMembership(replica, new NetworkPeers(clients, link));
     const server = new grpc.Server();
     server.addService(
       (proto.Control as grpc.ServiceClientConstructor).service,
@@ -101,7 +102,7 @@
     );
     const { port } = this.register(await startGrpcServer(server, listen, STOP_GRACE_MS));
     await link.listen(listen, {
-      onProbe: (news) => membership.onExchange(news),
+      onProbe: (updates) => membership.onExchange(updates),
       onCompare: (digests) => membership.onCompare(digests),
       onProbeFor: (address) => membership.onProbe(address),
     });
@@ -115,35 +116,37 @@
     });
     replica.start();
     membership.start(this.#cfg.gossipIntervalMs);
-    this.register(await startHttpServer(this.#adminServer(replica, watchers), this.#cfg.admin));
+    this.register(
+      await startHttpServer(this.#createAdminServer(replica, watchers), this.#cfg.admin),
+    );
     const { version } = replica.state;
     this.#log.info({ grpcPort: port, version, replica: replica.id }, "control started");
   }
 
-  /** Takes on settings that can change while it runs: the seeds. */
+  /** Applies the settings that can change at runtime, which are the seeds. */
   reload({ seeds }: ControlSettings): void {
     this.#cfg = { ...this.#cfg, seeds };
   }
 
   #openReplica(): Replica {
     const { listen, zone, api, seeds, dataDir, bootstrap, tolerate } = this.#cfg;
-    const group = seeds.length > 0 ? seeds : [listen];
+    const initialGroup = seeds.length > 0 ? seeds : [listen];
     const link = this.register(new GrpcReplicaLink());
-    // Alone, there is nobody to be filled in by: an empty disk is a first start.
-    const isFirst = bootstrap || (group.length === 1 && group[0] === listen);
+    // A single replica cannot receive state from another one, so an empty disk means a first start.
+    const isFirstStart = bootstrap || (initialGroup.length === 1 && initialGroup[0] === listen);
     const log = new ReplicatedLog(new FileReplicaStore(dataDir), () =>
-      isFirst
+      isFirstStart
         ? {
             id: ReplicaId(listen),
-            voters: group.map((address) => ({ id: ReplicaId(address), address, zone: "" })),
+            voters: initialGroup.map((address) => ({ id: ReplicaId(address), address, zone: "" })),
           }
         : { id: ReplicaId(`${listen}~${randomSuffix()}`), voters: [] },
     );
-    const tolerated = tolerate ?? Math.floor((group.length - 1) / 2);
+    const tolerated = tolerate ?? Math.floor((initialGroup.length - 1) / 2);
     return this.register(
       new Replica({
         self: { address: listen, zone, api: api ?? listen },
-        contacts: () => [...this.#cfg.seeds, ...group],
+        contacts: () => [...this.#cfg.seeds, ...initialGroup],
         wantedVoters: 2 * tolerated + 1,
         log,
         link,
@@ -158,8 +161,8 @@
     );
   }
 
-  /** Control replicas are members of the fleet, so that sidecars find them and each other through any of them. */
-  #joinFleet(replica: Replica, peers: NetworkPeers): Membership {
+  /** Control replicas are members too, so that sidecars discover them, and each other, through any of them. */
+  #createMembership(replica: Replica, peers: NetworkPeers): Membership {
     const { id, zone, listen } = this.#cfg;
     const self = {
       id: SidecarId(id),
@@ -173,7 +176,7 @@
         table,
         peers,
         seeds: () => this.#cfg.seeds,
-        documents: committedVersion(replica),
+        documents: documentVersionOf(replica),
         clock: SystemClock,
         random: Math.random,
         onNews: logMemberUpdates(this.#log),
@@ -181,7 +184,7 @@
     );
   }
 
-  #adminServer(replica: Replica, watchers: DocumentWatchers) {
+  #createAdminServer(replica: Replica, watchers: DocumentWatchers) {
     const { registry } = this.#metrics;
     this.#metrics.observe(replica, watchers);
     return createServer((req, res) => {
@@ -215,8 +218,11 @@
   }
 }
 
-/** The committed version, as gossip passes it on; control takes a document from nobody but its own log. */
-function committedVersion(replica: Replica) {
+/**
+ * The document version that gossip announces. Versions that other members announce are
+ * ignored: a control replica receives the document only through its log.
+ */
+function documentVersionOf(replica: Replica) {
   return {
     get version() {
       return replica.state.version;
