--- a/src/control/log/ReplicatedLog.ts
+++ b/src/control/log/ReplicatedLog.ts
@@ -6,7 +6,10 @@
 import type { ReplicaStore, StoredReplica } from "./ReplicaStore.ts";
 import type { Voter } from "./Voter.ts";
 
-/** Number of entries after which the log is compacted, whatever the file's size; limits how many a start has to read. */
+/**
+ * Number of entries after which the log is compacted, whatever the file's size; limits how many
+ * a start has to read.
+ */
 const COMPACT_ENTRIES = 1024;
 
 /** Index and term of the snapshot of a replica without any state: no leader's log can continue from it. */
--- a/src/control/replica/Election.ts
+++ b/src/control/replica/Election.ts
@@ -142,7 +142,10 @@
     });
   }
 
-  /** Requests votes from the other voters; calls `onMajority` once a majority, this replica included, has granted them. */
+  /**
+   * Requests votes from the other voters; calls `onMajority` once a majority, this replica
+   * included, has granted them.
+   */
   #requestVotes(
     term: number,
     options: { pre: boolean; handover: boolean },
--- a/src/control/replica/LeaderTerm.ts
+++ b/src/control/replica/LeaderTerm.ts
@@ -49,7 +49,10 @@
   readonly #peers = new Map<ReplicaId, PeerProgress>();
   readonly #learners = new Map<ReplicaId, { replica: Voter; requestedAt: number }>();
   readonly #waiters = new Set<() => void>();
-  /** Index of this leader's first entry; until it is committed, earlier entries may be committed without the leader knowing. */
+  /**
+   * Index of this leader's first entry; until it is committed, earlier entries may be committed
+   * without the leader knowing.
+   */
   #firstIndex = Infinity;
   #timer: Timer | undefined;
   #ended = false;
@@ -72,7 +75,10 @@
     this.#notifyWaiters();
   }
 
-  /** True while a quorum has acknowledged a message sent within the lease and all entries of earlier terms are committed. */
+  /**
+   * True while a quorum has acknowledged a message sent within the lease and all entries of
+   * earlier terms are committed.
+   */
   holdsLease(commitIndex: number): boolean {
     const { clock, timing } = this.#deps;
     return commitIndex >= this.#firstIndex && this.#quorumAckedAt() + timing.leaseMs > clock.now();
@@ -108,7 +114,10 @@
     return this.#waitFor(() => this.#quorumAckedAt() >= calledAt);
   }
 
-  /** Handles a join request from a replica outside the group: it is sent the log, and may become a voter once it has caught up. */
+  /**
+   * Handles a join request from a replica outside the group: it is sent the log, and may become
+   * a voter once it has caught up.
+   */
   noteLearner(replica: Voter): void {
     const { log, clock, logger } = this.#deps;
     const members = membersOf(log.group);
--- a/src/control/replica/PeerProgress.ts
+++ b/src/control/replica/PeerProgress.ts
@@ -43,7 +43,10 @@
     return this.#ackedAt;
   }
 
-  /** True once a replica with another id has replied at the address: this one's disk is lost, and its id will not return. */
+  /**
+   * True once a replica with another id has replied at the address: this one's disk is lost,
+   * and its id will not return.
+   */
   get isDiskLost(): boolean {
     return this.#isDiskLost;
   }
--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -186,7 +186,10 @@
     return this.holdsLease || (this.#term === undefined && this.#hasRecentHeartbeat);
   }
 
-  /** Calls `listener` after every commit, change of leadership or loss of the leader; returns a function that removes it. */
+  /**
+   * Calls `listener` after every commit, change of leadership or loss of the leader; returns a
+   * function that removes it.
+   */
   onChange(listener: () => void): () => void {
     this.#listeners.add(listener);
     return () => this.#listeners.delete(listener);
@@ -239,7 +242,10 @@
     return proposal;
   }
 
-  /** True once the group is large enough for the configured fault tolerance, so that acknowledged changes survive that many losses. */
+  /**
+   * True once the group is large enough for the configured fault tolerance, so that
+   * acknowledged changes survive that many losses.
+   */
   get isGroupComplete(): boolean {
     const { group, groupIndex } = this.#log;
     return (
--- a/src/control/service/DocumentWatchers.ts
+++ b/src/control/service/DocumentWatchers.ts
@@ -47,7 +47,10 @@
     return this.#watchers.size;
   }
 
-  /** Adds a watcher that has `version`; returns a function that removes it, or undefined if it has to use another replica. */
+  /**
+   * Adds a watcher that has `version`; returns a function that removes it, or undefined if it
+   * has to use another replica.
+   */
   add(version: number, stream: WatchStream): (() => void) | undefined {
     if (!this.#replica.inTouch) {
       return undefined;
