--- a/src/control/service/DocumentWatchers.ts
+++ b/src/control/service/DocumentWatchers.ts
@@ -6,8 +6,8 @@
 /** Interval between the heartbeats on a watch, ms. */
 const HEARTBEAT_MS = 1000;
 
-/** The stream to one watcher. */
-interface WatchStream {
+/** Connection to one watcher. */
+interface WatcherLink {
   readonly send: (update: DocumentUpdate) => void;
   /** Sends a heartbeat with the committed version; undefined if the watcher has not requested heartbeats. */
   readonly sendHeartbeat?: (version: number) => void;
@@ -18,7 +18,7 @@
 interface Watcher {
   /** The latest version that was sent to it, or that it had when it connected. */
   version: number;
-  readonly stream: WatchStream;
+  readonly link: WatcherLink;
 }
 
 /**
@@ -51,13 +51,13 @@
    * Adds a watcher that has `version`; returns a function that removes it, or undefined if it
    * has to use another replica.
    */
-  add(version: number, stream: WatchStream): (() => void) | undefined {
+  add(version: number, link: WatcherLink): (() => void) | undefined {
     if (!this.#replica.inTouch) {
       return undefined;
     }
-    const watcher = { version, stream };
+    const watcher = { version, link };
     this.#watchers.add(watcher);
-    stream.sendHeartbeat?.(version);
+    link.sendHeartbeat?.(version);
     this.#sendUpdates(watcher);
     return () => this.#watchers.delete(watcher);
   }
@@ -81,21 +81,21 @@
 
   #sendHeartbeats(): void {
     const { version } = this.#replica.state;
-    for (const { stream } of this.#watchers) {
-      stream.sendHeartbeat?.(version);
+    for (const { link } of this.#watchers) {
+      link.sendHeartbeat?.(version);
     }
   }
 
   #sendUpdates(watcher: Watcher): void {
     for (const update of this.#replica.state.history.since(watcher.version)) {
       watcher.version = update.version;
-      watcher.stream.send(update);
+      watcher.link.send(update);
     }
   }
 
   #endAll(): void {
-    for (const { stream } of this.#watchers) {
-      stream.end();
+    for (const { link } of this.#watchers) {
+      link.end();
     }
     this.#watchers.clear();
   }
