--- a/src/control/service/ControlService.ts
+++ b/src/control/service/ControlService.ts
@@ -14,7 +14,7 @@
  * small for the configured fault tolerance, ms. The replicas start within a second of each
  * other; the limit allows operation with fewer machines than the tolerance needs.
  */
-const GROUP_COMPLETE_TIMEOUT_MS = 6000;
+const GROUP_TIMEOUT_MS = 6000;
 
 /**
  * Handles change requests and reads through one {@link Replica}. A change is applied by
@@ -83,10 +83,7 @@
   }
 
   get #canAcknowledge(): boolean {
-    return (
-      this.#replica.isGroupComplete ||
-      this.#clock.now() - this.#startedAt > GROUP_COMPLETE_TIMEOUT_MS
-    );
+    return this.#replica.isGroupComplete || this.#clock.now() - this.#startedAt > GROUP_TIMEOUT_MS;
   }
 
   #rememberConflict(orderId: string, outcome: ApplyOutcome): void {
