--- a/src/control/log/ConfigState.ts
+++ b/src/control/log/ConfigState.ts
@@ -5,8 +5,8 @@
 
 /**
  * Number of accepted change requests that are remembered, so that a resend is acknowledged
- * again and not refused. At the size planned for two years from now, 31,000 changes are
- * made a day, so 4096 cover about three hours; operators' tools resend within seconds.
+ * again and not refused. At the size planned for in two years, there are 31,000 changes
+ * a day, so 4096 cover about three hours; operators' tools resend within seconds.
  */
 const MAX_REMEMBERED_REQUESTS = 4096;
 
--- a/src/control/service/ControlService.ts
+++ b/src/control/service/ControlService.ts
@@ -6,7 +6,7 @@
 import type { ChangeRequest } from "./ChangeRequest.ts";
 import { evaluateChange } from "./evaluateChange.ts";
 
-/** Number of conflicts that are remembered, so that a resend of a refused change is refused again. */
+/** Number of conflicts that this replica remembers, so that a resend of a refused change is refused again. */
 const MAX_REMEMBERED_CONFLICTS = 4096;
 
 /**
--- a/src/control/service/evaluateChange.ts
+++ b/src/control/service/evaluateChange.ts
@@ -12,7 +12,7 @@
 /**
  * Evaluates a change request against the current state. Returns the change to propose, or an
  * answer if there is nothing to propose. A request that was accepted before is acknowledged
- * again, regardless of any changes since.
+ * again, regardless of later changes, while {@link ConfigState} remembers it.
  */
 export function evaluateChange(
   current: ConfigState,
