--- a/src/control/replica/PeerProgress.ts
+++ b/src/control/replica/PeerProgress.ts
@@ -44,7 +44,7 @@
   }
 
   /**
-   * True once a replica with another id has replied at the address: this one's disk is lost,
+   * True once a replica with another id has appeared at the address: this one's disk is lost,
    * and its id will not return.
    */
   get isDiskLost(): boolean {
