--- a/src/control/replica/Election.ts
+++ b/src/control/replica/Election.ts
@@ -14,7 +14,7 @@
   readonly clock: Clock;
   /** In [0, 1). */
   readonly random: () => number;
-  /** Called with the term of every reply. */
+  /** Called with the term of every vote reply. */
   readonly noteTerm: (term: number) => void;
   /** Called when this replica has won an election. */
   readonly onElected: () => void;
--- a/src/control/replica/LeaderTerm.ts
+++ b/src/control/replica/LeaderTerm.ts
@@ -29,7 +29,7 @@
   readonly commitIndex: () => number;
   /** Commits the entries up to `index`. */
   readonly commit: (index: number) => void;
-  /** Called with the term of every reply. */
+  /** Called with the term of every append reply. */
   readonly noteTerm: (term: number) => void;
   /** Called when a committed change of the group has removed this replica. */
   readonly onExcluded: () => void;
--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -187,8 +187,8 @@
   }
 
   /**
-   * Calls `listener` after every commit, change of leadership or loss of the leader; returns a
-   * function that removes it.
+   * Calls `listener` after every commit, and when this replica stops leading or loses contact
+   * with the leader; returns a function that removes the listener.
    */
   onChange(listener: () => void): () => void {
     this.#listeners.add(listener);
