--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -5,7 +5,7 @@
  * A target that cannot do without a call fails its run this soon after the call's answer, ms: the answer has
  * to reach it, and its own the sidecar, both on one VM, with time for a pause of either process.
  */
-const AFTERMATH_MS = 100;
+const LOST_CALL_WINDOW_MS = 100;
 
 /**
  * How far back the share of idle time looks, ms. Over the whole life of a process a quiet start makes a busy target
@@ -22,7 +22,7 @@
 }
 
 /** What is known of a call when it is made. */
-interface MadeCall {
+interface NestedCall {
   readonly route: string;
   readonly service: string;
   /** Chance that it is a call, and not a caller's request. */
@@ -46,7 +46,7 @@
   readonly #startedAt: number;
   #count = 0;
   /** Times with a run under way, ended within the window. */
-  #busy: { readonly from: number; readonly until: number }[] = [];
+  #busyPeriods: { readonly from: number; readonly until: number }[] = [];
   #busySince = 0;
   /** When each call that waits for its answer was made. */
   readonly #openCalls = new Set<{ readonly startedAt: number }>();
@@ -73,9 +73,9 @@
   get idleShare(): number {
     const now = this.#clock.now();
     const from = Math.max(this.#startedAt, now - IDLE_WINDOW_MS);
-    this.#busy = this.#busy.filter((b) => b.until > from);
-    const under = this.#count > 0 ? [{ from: this.#busySince, until: now }] : [];
-    const busyMs = [...this.#busy, ...under].reduce(
+    this.#busyPeriods = this.#busyPeriods.filter((b) => b.until > from);
+    const ongoing = this.#count > 0 ? [{ from: this.#busySince, until: now }] : [];
+    const busyMs = [...this.#busyPeriods, ...ongoing].reduce(
       (sum, b) => sum + b.until - Math.max(from, b.from),
       0,
     );
@@ -89,12 +89,12 @@
       this.#busySince = startedAt;
     }
     this.#count += 1;
-    this.#callsPerRun.noteRun();
+    this.#callsPerRun.recordRun();
     return {
       end: () => {
         this.#count -= 1;
         if (this.#count === 0) {
-          this.#busy.push({ from: this.#busySince, until: this.#clock.now() });
+          this.#busyPeriods.push({ from: this.#busySince, until: this.#clock.now() });
         }
       },
       takeLostCall: () => this.#takeLostCall(startedAt),
@@ -102,14 +102,14 @@
   }
 
   /** Notes that a call begins; returns what to call when it has ended. */
-  beginCall({ route, service, weight }: MadeCall): (wasServed: boolean) => void {
+  beginCall({ route, service, weight }: NestedCall): (wasServed: boolean) => void {
     const call = { startedAt: this.#clock.now() };
     this.#openCalls.add(call);
-    this.#callsPerRun.noteCall(service, weight);
+    this.#callsPerRun.recordCall(service, weight);
     return (wasServed) => {
       this.#openCalls.delete(call);
       if (!wasServed) {
-        this.#noteLostCall({ route, ...call, endedAt: this.#clock.now() });
+        this.#recordLostCall({ route, ...call, endedAt: this.#clock.now() });
       }
     };
   }
@@ -119,15 +119,15 @@
     return [...this.#openCalls].some((call) => call.startedAt >= since);
   }
 
-  #noteLostCall(call: LostCall): void {
-    const cutoff = this.#clock.now() - AFTERMATH_MS;
+  #recordLostCall(call: LostCall): void {
+    const cutoff = this.#clock.now() - LOST_CALL_WINDOW_MS;
     this.#lostCalls = this.#lostCalls.filter((c) => c.endedAt >= cutoff);
     this.#lostCalls.push(call);
   }
 
   #takeLostCall(startedAt: number): LostCall | undefined {
-    const cutoff = this.#clock.now() - AFTERMATH_MS;
-    const at = this.#lostCalls.findIndex((c) => c.startedAt >= startedAt && c.endedAt >= cutoff);
-    return at < 0 ? undefined : this.#lostCalls.splice(at, 1)[0];
+    const cutoff = this.#clock.now() - LOST_CALL_WINDOW_MS;
+    const index = this.#lostCalls.findIndex((c) => c.startedAt >= startedAt && c.endedAt >= cutoff);
+    return index < 0 ? undefined : this.#lostCalls.splice(index, 1)[0];
   }
 }
--- a/src/sidecar/gate/CallsPerRun.ts
+++ b/src/sidecar/gate/CallsPerRun.ts
@@ -8,10 +8,10 @@
 const HALF_LIFE_MS = 10_000;
 
 /** Runs before the means tell much count as so many of those that make no calls. */
-const ASSUMED_RUNS = 1;
+const PRIOR_RUNS = 1;
 
 /** A mean below this is not worth telling. */
-const LEAST_MEAN = 0.02;
+const MIN_MEAN = 0.02;
 
 /**
  * Counts the calls that the targets beside this sidecar make, for each run. Whoever sends a request again has
@@ -25,19 +25,19 @@
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#runs = this.#counter();
+    this.#runs = this.#createCounter();
   }
 
   /** Notes that a run begins. */
-  noteRun(): void {
+  recordRun(): void {
     this.#runs.add(1, Infinity);
   }
 
   /** Notes a request to `service` that begins here, and is a call with the chance `weight`. */
-  noteCall(service: string, weight: number): void {
+  recordCall(service: string, weight: number): void {
     let calls = this.#calls.get(service);
     if (!calls) {
-      calls = this.#counter();
+      calls = this.#createCounter();
       this.#calls.set(service, calls);
     }
     calls.add(weight, Infinity);
@@ -45,14 +45,14 @@
 
   /** What a run makes of them, on average. */
   get means(): CallMeans {
-    const runs = this.#runs.value + ASSUMED_RUNS;
+    const runs = this.#runs.value + PRIOR_RUNS;
     const means = [...this.#calls].map(
       ([service, calls]) => [service, calls.value / runs] as const,
     );
-    return new Map(means.filter(([, mean]) => mean >= LEAST_MEAN));
+    return new Map(means.filter(([, mean]) => mean >= MIN_MEAN));
   }
 
-  #counter(): DecayingScore {
+  #createCounter(): DecayingScore {
     return new DecayingScore(this.#clock, () => HALF_LIFE_MS);
   }
 }
