--- a/src/sidecar/gate/RunTable.ts
+++ b/src/sidecar/gate/RunTable.ts
@@ -11,13 +11,13 @@
   | { readonly kind: "unknown" };
 
 /** Answers kept for those whose connection was lost, all together, bytes: a tenth of the process's memory. */
-const MAX_KEPT_BYTES = 32 << 20;
+const MAX_RETAINED_BYTES = 32 << 20;
 
 /**
  * How long a run is remembered after its end and its request's deadline, ms: so that a request delayed in a cut is
  * known when it arrives, also one from a machine that was suspended.
  */
-const REMEMBER_MS = 60_000;
+const RETENTION_MS = 60_000;
 
 /** How often old runs are dropped, ms. */
 const SWEEP_MS = 10_000;
@@ -27,7 +27,7 @@
   running: Promise<ForwardResult> | undefined;
   result: ForwardResult | undefined;
   /** Its end, or its request's deadline if that is later; by the clock, ms. */
-  overAt: number;
+  closedAt: number;
 }
 
 /**
@@ -39,7 +39,7 @@
 export class RunTable {
   readonly #clock: Clock;
   readonly #entries = new Map<GrantId, Entry>();
-  #keptBytes = 0;
+  #retainedBytes = 0;
   #sweptAt = 0;
 
   constructor(clock: Clock) {
@@ -53,12 +53,12 @@
    */
   track(grant: GrantId, run: Promise<ForwardResult>, deadlineAt: number): void {
     this.#sweep();
-    const entry: Entry = { running: run, result: undefined, overAt: Infinity };
+    const entry: Entry = { running: run, result: undefined, closedAt: Infinity };
     this.#entries.set(grant, entry);
     void run.then((result) => {
       entry.running = undefined;
-      entry.overAt = Math.max(this.#clock.now(), deadlineAt);
-      this.#keep(entry, result);
+      entry.closedAt = Math.max(this.#clock.now(), deadlineAt);
+      this.#retainResult(entry, result);
     });
   }
 
@@ -79,24 +79,24 @@
     return this.#entries.size;
   }
 
-  #keep(entry: Entry, result: ForwardResult): void {
-    const bytes = bytesOf(result);
+  #retainResult(entry: Entry, result: ForwardResult): void {
+    const bytes = replayableBytes(result);
     if (bytes === undefined) {
       return; // A streamed answer went out once and cannot be given again.
     }
     entry.result = result;
-    this.#keptBytes += bytes;
+    this.#retainedBytes += bytes;
     for (const old of this.#entries.values()) {
-      if (this.#keptBytes <= MAX_KEPT_BYTES) {
+      if (this.#retainedBytes <= MAX_RETAINED_BYTES) {
         return;
       }
-      this.#drop(old);
+      this.#dropResult(old);
     }
   }
 
-  #drop(entry: Entry): void {
+  #dropResult(entry: Entry): void {
     if (entry.result) {
-      this.#keptBytes -= bytesOf(entry.result) ?? 0;
+      this.#retainedBytes -= replayableBytes(entry.result) ?? 0;
       entry.result = undefined;
     }
   }
@@ -108,8 +108,8 @@
     }
     this.#sweptAt = now;
     for (const [grant, entry] of this.#entries) {
-      if (now - entry.overAt > REMEMBER_MS) {
-        this.#drop(entry);
+      if (now - entry.closedAt > RETENTION_MS) {
+        this.#dropResult(entry);
         this.#entries.delete(grant);
       }
     }
@@ -117,7 +117,7 @@
 }
 
 /** Bytes of an answer that can be given again; undefined for one that cannot. */
-function bytesOf(result: ForwardResult): number | undefined {
+function replayableBytes(result: ForwardResult): number | undefined {
   if (!("body" in result)) {
     return 0;
   }
