--- a/src/sidecar/gate/goesBefore.ts
+++ b/src/sidecar/gate/goesBefore.ts
@@ -2,10 +2,10 @@
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Head start of each rank of priority over the next, ms: strict priority would leave the lower ranks nothing under load. */
-const RANK_MS = 100;
+const PRIORITY_STEP_MS = 100;
 
 /** The same among those that are late anyway. */
-const LATE_RANK_MS = 500;
+const LATE_PRIORITY_STEP_MS = 500;
 
 /**
  * Whether `a` is to have the next free slot before `b`. Calls that targets make in the midst of their runs go first: each
@@ -30,14 +30,14 @@
   if (lateA !== lateB) {
     return lateB;
   }
-  const rankOf = lateA ? lateRank : rank;
+  const rankOf = lateA ? lateRank : onTimeRank;
   return rankOf(a) < rankOf(b);
 }
 
-function rank({ request, askedAt }: QueuedRequest): number {
-  return askedAt + request.objectiveMs + request.priority * RANK_MS;
+function onTimeRank({ request, askedAt }: QueuedRequest): number {
+  return askedAt + request.objectiveMs + request.priority * PRIORITY_STEP_MS;
 }
 
 function lateRank({ request, askedAt }: QueuedRequest): number {
-  return askedAt + request.priority * LATE_RANK_MS;
+  return askedAt + request.priority * LATE_PRIORITY_STEP_MS;
 }
