--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -24,7 +24,7 @@
 }
 
 /** The gate to one life of a target. */
-interface Opened {
+interface GateEntry {
   readonly born: number;
   readonly gate: Gate;
 }
@@ -32,9 +32,9 @@
 /** The gates to the targets beside this sidecar: mostly one, two while one takes another's place. */
 export class TargetGates {
   readonly #deps: TargetGatesDeps;
-  readonly #gates = new Map<TargetId, Opened>();
+  readonly #gates = new Map<TargetId, GateEntry>();
   #closed = false;
-  #endAt: number | undefined;
+  #shutdownAt: number | undefined;
 
   constructor(deps: TargetGatesDeps) {
     this.#deps = deps;
@@ -44,16 +44,16 @@
   get(id: TargetId): Gate | undefined {
     const target = this.#deps.targets().find((t) => t.id === id);
     if (target) {
-      this.#retireOlder(target);
+      this.#retirePreviousIncarnation(target);
     }
-    return this.#gates.get(id)?.gate ?? (target && this.#open(target));
+    return this.#gates.get(id)?.gate ?? (target && this.#createGate(target));
   }
 
   /** Targets have come, changed or gone: what waits for one of them is weighed again. */
   targetsChanged(): void {
     const targets = this.#deps.targets();
     for (const target of targets) {
-      this.#retireOlder(target);
+      this.#retirePreviousIncarnation(target);
     }
     const here = new Set(targets.map((t) => t.id));
     for (const [id, { gate }] of this.#gates) {
@@ -66,7 +66,7 @@
 
   /** This sidecar is being stopped, and ends at `endAt`, ms: see {@link Gate.closeBy}. */
   closeBy(endAt: number): void {
-    this.#endAt = endAt;
+    this.#shutdownAt = endAt;
     for (const [target, { gate }] of this.#gates) {
       const { busy, queued, serviceMs } = gate.load;
       this.#deps.log.info({ target, busy, queued, serviceMs }, "gate closing");
@@ -94,19 +94,19 @@
    * of before: a run given to its last life would otherwise be waited for until its deadline,
    * its slot be counted as taken, and the failures of that life be held against this one.
    */
-  #retireOlder(target: TargetInfo): void {
-    const opened = this.#gates.get(target.id);
-    if (!opened || opened.born === target.born) {
+  #retirePreviousIncarnation(target: TargetInfo): void {
+    const entry = this.#gates.get(target.id);
+    if (!entry || entry.born === target.born) {
       return;
     }
     this.#gates.delete(target.id);
-    opened.gate.retire();
+    entry.gate.retire();
     const { id, born } = target;
-    this.#deps.log.info({ target: id, born, before: opened.born }, "target started again");
+    this.#deps.log.info({ target: id, born, before: entry.born }, "target started again");
     this.#deps.onNewLife?.(target);
   }
 
-  #open(target: TargetInfo): Gate {
+  #createGate(target: TargetInfo): Gate {
     const { clock, grants, detectorOf, targets, log, waitsForCall } = this.#deps;
     const { id, born } = target;
     const gate = new Gate({
@@ -122,8 +122,8 @@
       clock,
       grants,
     });
-    if (this.#endAt !== undefined) {
-      gate.closeBy(this.#endAt);
+    if (this.#shutdownAt !== undefined) {
+      gate.closeBy(this.#shutdownAt);
     }
     if (this.#closed) {
       gate.close();
