--- a/src/sidecar/gate/AdmissionQueue.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -5,19 +5,19 @@
 import { WaitEstimator } from "./WaitEstimator.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-type Reply = (reply: SlotReply) => void;
+type ReplyCallback = (reply: SlotReply) => void;
 
 /** An ask whose turn has come, and whoever waits for its answer; undefined where that has given up. */
-interface Turn {
+interface DequeuedRequest {
   readonly waiting: QueuedRequest;
-  readonly reply: Reply | undefined;
+  readonly reply: ReplyCallback | undefined;
 }
 
 /** The asks that stand in line at a gate, with those who wait for their answers. */
 export class AdmissionQueue {
   readonly #queue: SlotRequestQueue;
   readonly #estimator = new WaitEstimator();
-  readonly #replies = new Map<QueuedRequest, Reply>();
+  readonly #replies = new Map<QueuedRequest, ReplyCallback>();
 
   constructor(order?: ConstructorParameters<typeof SlotRequestQueue>[0]) {
     this.#queue = new SlotRequestQueue(order);
@@ -27,7 +27,7 @@
     return this.#queue.length;
   }
 
-  add(waiting: QueuedRequest, reply: Reply): void {
+  add(waiting: QueuedRequest, reply: ReplyCallback): void {
     this.#queue.add(waiting);
     this.#replies.set(waiting, reply);
   }
@@ -39,7 +39,7 @@
   }
 
   /** Takes out the one whose turn it is, at `now`, when a request takes `serviceMs`. */
-  next(now: number, serviceMs: number): Turn | undefined {
+  dequeue(now: number, serviceMs: number): DequeuedRequest | undefined {
     const waiting = this.#queue.take(now, serviceMs);
     if (!waiting) {
       return undefined;
@@ -50,12 +50,12 @@
   }
 
   /** Takes out all that are to be refused, and tells those who wait for them. */
-  refuse(
+  refuseWhere(
     refusalOf: (waiting: QueuedRequest) => RefusalReason | undefined,
-    answer: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
+    makeReply: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
   ): void {
     const reasons = new Map<QueuedRequest, RefusalReason>();
-    this.#queue.takeAll((waiting) => {
+    this.#queue.removeWhere((waiting) => {
       const reason = refusalOf(waiting);
       if (reason) {
         reasons.set(waiting, reason);
@@ -63,15 +63,15 @@
       return reason !== undefined;
     });
     for (const [waiting, reason] of reasons) {
-      this.#replies.get(waiting)?.(answer(reason, waiting));
+      this.#replies.get(waiting)?.(makeReply(reason, waiting));
       this.#replies.delete(waiting);
     }
   }
 
   /** Notes that an ask was given a slot, in line or as it came. */
-  noteGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
+  recordGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
     const { isCall } = waiting.request;
-    this.#estimator.noteGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
+    this.#estimator.recordGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
   }
 
   /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -37,10 +37,10 @@
  * A grant that nobody takes expires after this long, ms. A round trip takes 3; the
  * rest is for a sidecar on a slowed machine. The slot stands empty meanwhile.
  */
-const GRANT_MS = 250;
+const GRANT_TTL_MS = 250;
 
 /** Scales the lease with the body size, so that a slow upload does not lose its slot and retry from the start. */
-const GRANT_BYTES_PER_MS = 100;
+const MIN_UPLOAD_BYTES_PER_MS = 100;
 
 /**
  * Waiting asks per slot, at most. Each request asks two or three gates, so half and
@@ -48,13 +48,13 @@
  * four requests deep, about the longest that still meets a deadline of ten times the
  * work time.
  */
-const QUEUE_PER_SLOT = 8;
+const MAX_QUEUED_PER_SLOT = 8;
 
 /** What waits is weighed again at most this often, ms. */
-const WEIGH_GAP_MS = 50;
+const MIN_REEVALUATION_GAP_MS = 50;
 
 /** How often a gate that is being closed weighs what waits, ms. */
-const CLOSING_CHECK_MS = 100;
+const SHUTDOWN_REEVALUATION_MS = 100;
 
 /**
  * A run that takes this many times its usual time is evidence against the target
@@ -63,13 +63,13 @@
 const OVERDUE_FACTOR = 3;
 
 /** Weight of the newest request in the average service time: about the last ten count. */
-const SERVICE_WEIGHT = 0.1;
+const SERVICE_TIME_SMOOTHING = 0.1;
 
 /** Assumed service time before any request has run, ms. */
-const FIRST_SERVICE_MS = 300;
+const INITIAL_SERVICE_MS = 300;
 
 /** An ask being weighed, which whoever asked may take back. */
-interface Ticket {
+interface SlotRequestHandle {
   /** True while it waits for a slot. */
   readonly queued: boolean;
   /** Takes the ask, or a grant not taken yet, back. */
@@ -86,12 +86,12 @@
   readonly #deps: GateDeps;
   readonly #queue: AdmissionQueue;
   readonly #slots: SlotTable;
-  readonly #life = new AbortController();
-  #weighedAt = -Infinity;
-  #serviceMs = FIRST_SERVICE_MS;
+  readonly #retired = new AbortController();
+  #reevaluatedAt = -Infinity;
+  #serviceMs = INITIAL_SERVICE_MS;
   #closed = false;
   /** When the sidecar ends, by the gate's clock, ms; runs are to be over by then. */
-  #endAt = Infinity;
+  #shutdownAt = Infinity;
 
   constructor(deps: GateDeps) {
     this.#deps = deps;
@@ -112,34 +112,34 @@
       suspect: detector.isSuspect,
       ejected: detector.isEjected,
       probeInMs: detector.probeInMs(this.#slots.probes),
-      endsInMs: this.#endAt < Infinity ? this.#endAt - this.#deps.clock.now() : undefined,
+      endsInMs: this.#shutdownAt < Infinity ? this.#shutdownAt - this.#deps.clock.now() : undefined,
     };
   }
 
   /** Weighs an ask; `reply` is called once, at once or when a slot is free. */
-  requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): Ticket {
+  requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): SlotRequestHandle {
     const waiting = { request, askedAt: this.#deps.clock.now() };
     let grant: GrantId | undefined;
-    const answer = (said: SlotReply) => {
-      grant = said.kind === "granted" ? said.grant : undefined;
-      reply(said);
+    const onReply = (slotReply: SlotReply) => {
+      grant = slotReply.kind === "granted" ? slotReply.grant : undefined;
+      reply(slotReply);
     };
     const revoke = () => {
       if (grant !== undefined) {
         this.revoke(grant);
       }
     };
-    const refusal = this.#refusalOf(waiting) ?? this.#refusalOfNewcomer(request);
+    const refusal = this.#refusalReason(waiting) ?? this.#refusalReasonOnArrival(request);
     if (refusal !== undefined) {
-      answer(this.#refuse(refusal, waiting));
+      onReply(this.#refuse(refusal, waiting));
       return { queued: false, withdraw: () => undefined };
     }
-    if (this.#isIdle) {
-      this.#queue.noteGrant(waiting, waiting.askedAt, this.#serviceMs);
-      this.#grant(request, answer);
+    if (this.#hasIdleSlot) {
+      this.#queue.recordGrant(waiting, waiting.askedAt, this.#serviceMs);
+      this.#grant(request, onReply);
       return { queued: false, withdraw: revoke };
     }
-    this.#queue.add(waiting, answer);
+    this.#queue.add(waiting, onReply);
     return {
       queued: true,
       withdraw: () => {
@@ -161,17 +161,17 @@
   take(grant: GrantId): SlotRequest | undefined {
     return this.#slots.take(
       grant,
-      (request) => this.#usualMs(request) * OVERDUE_FACTOR,
-      (since) => this.#noteOverdue(since),
+      (request) => this.#typicalRunMs(request) * OVERDUE_FACTOR,
+      (since) => this.#reportOverdue(since),
     );
   }
 
   /** Tells the detector of a run that takes far longer than usual; false where the time is that of a target which it called. */
-  #noteOverdue(since: number): boolean {
+  #reportOverdue(since: number): boolean {
     if (this.#deps.waitsForCall?.(since)) {
       return false;
     }
-    this.#tellJudge(() => {
+    this.#updateDetector(() => {
       this.#deps.detector.noteOverdue(this.#deps.clock.now() - since);
     });
     return true;
@@ -186,28 +186,28 @@
     const { request, ms, wasOverdue } = ended;
     // One that was overdue, and then ran out of time, is one observation.
     if (!(wasOverdue && outcome === AttemptOutcome.TimedOut)) {
-      this.#tellJudge(() => {
+      this.#updateDetector(() => {
         this.#deps.detector.note(outcome, ms, request.typicalMs);
       });
     }
-    this.#noteServiceMs(ms);
-    this.#serveNext();
-    this.#weighLine();
+    this.#updateServiceMs(ms);
+    this.#grantFreeSlots();
+    this.#refuseUnservable();
   }
 
   /** Where the detector thinks otherwise of the target now, what waits for it is weighed again. */
-  #tellJudge(tell: () => void): void {
-    const before = this.#standing;
-    tell();
-    if (this.#standing !== before) {
+  #updateDetector(update: () => void): void {
+    const before = this.#health;
+    update();
+    if (this.#health !== before) {
       this.targetChanged();
       this.#deps.onJudged?.(this.load);
     }
   }
 
   /** Whether a slot is granted that has not been taken yet. */
-  isOpen(grant: GrantId): boolean {
-    return this.#slots.isOpen(grant);
+  isPending(grant: GrantId): boolean {
+    return this.#slots.isPending(grant);
   }
 
   /** True while a slot is granted or in use. */
@@ -215,30 +215,30 @@
     return this.#slots.size > 0;
   }
 
-  get #standing(): "ejected" | "suspect" | "well" {
+  get #health(): "ejected" | "suspect" | "well" {
     const { detector } = this.#deps;
     return detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well";
   }
 
   /** Looks again at what waits: the target has changed, come, or is leaving, or is thought of otherwise. */
   targetChanged(): void {
-    this.#weighedAt = -Infinity;
-    this.#weighLine();
-    this.#serveNext();
+    this.#reevaluatedAt = -Infinity;
+    this.#refuseUnservable();
+    this.#grantFreeSlots();
   }
 
   /**
    * Refuses what stands in line and cannot be served here any more, so that it can go
    * elsewhere or be told so, instead of being held until its time is up.
    */
-  #weighLine(): void {
+  #refuseUnservable(): void {
     const now = this.#deps.clock.now();
-    if (this.#queue.length === 0 || now - this.#weighedAt < WEIGH_GAP_MS) {
+    if (this.#queue.length === 0 || now - this.#reevaluatedAt < MIN_REEVALUATION_GAP_MS) {
       return;
     }
-    this.#weighedAt = now;
-    this.#queue.refuse(
-      (waiting) => this.#refusalOf(waiting),
+    this.#reevaluatedAt = now;
+    this.#queue.refuseWhere(
+      (waiting) => this.#refusalReason(waiting),
       (reason, waiting) => this.#refuse(reason, waiting),
     );
   }
@@ -249,18 +249,18 @@
    * signal on, sound targets stand idle in a rolling stop while others have no room for what comes.
    */
   closeBy(endAt: number): void {
-    this.#endAt = endAt;
+    this.#shutdownAt = endAt;
     this.targetChanged();
     this.#deps.onJudged?.(this.load);
-    this.#weighUntilClosed();
+    this.#reevaluateUntilShutdown();
   }
 
   /** What waits is weighed again as the end comes nearer, also while no run ends. */
-  #weighUntilClosed(): void {
-    if (!this.#closed && this.#deps.clock.now() < this.#endAt) {
-      this.#weighLine();
-      this.#deps.clock.after(CLOSING_CHECK_MS, () => {
-        this.#weighUntilClosed();
+  #reevaluateUntilShutdown(): void {
+    if (!this.#closed && this.#deps.clock.now() < this.#shutdownAt) {
+      this.#refuseUnservable();
+      this.#deps.clock.after(SHUTDOWN_REEVALUATION_MS, () => {
+        this.#reevaluateUntilShutdown();
       });
     }
   }
@@ -272,14 +272,14 @@
   }
 
   /** Aborted once the life of the target that this gate leads to has ended: see {@link retire}. */
-  get life(): AbortSignal {
-    return this.#life.signal;
+  get retired(): AbortSignal {
+    return this.#retired.signal;
   }
 
   /** The target has started again, and another gate leads to its new life: what is here is at an end. */
   retire(): void {
     this.close();
-    this.#life.abort();
+    this.#retired.abort();
   }
 
   get #freeSlots(): number {
@@ -287,17 +287,17 @@
   }
 
   /** Why an ask cannot join the line; undefined when it can. */
-  #refusalOfNewcomer({ attempt }: SlotRequest): RefusalReason | undefined {
+  #refusalReasonOnArrival({ attempt }: SlotRequest): RefusalReason | undefined {
     if (this.#slots.has(attempt)) {
       return RefusalReason.Duplicate;
     }
     const slots = this.#deps.target()?.slots ?? 0;
-    const hasNoRoom = this.#queue.length >= QUEUE_PER_SLOT * slots;
-    return !this.#isIdle && hasNoRoom ? RefusalReason.Full : undefined;
+    const isQueueFull = this.#queue.length >= MAX_QUEUED_PER_SLOT * slots;
+    return !this.#hasIdleSlot && isQueueFull ? RefusalReason.Full : undefined;
   }
 
   /** Why an ask, in line or about to join it, cannot be granted, now or by waiting; undefined when it can. */
-  #refusalOf(waiting: QueuedRequest): RefusalReason | undefined {
+  #refusalReason(waiting: QueuedRequest): RefusalReason | undefined {
     const { request, askedAt } = waiting;
     const target = this.#deps.target();
     if (!target) {
@@ -306,7 +306,8 @@
     const now = this.#deps.clock.now();
     const remainingMs = request.remainingMs - (now - askedAt);
     const waitMs = this.#waitMs(waiting);
-    const endsTooSoon = now + waitMs + this.#roomMs({ ...request, remainingMs }) > this.#endAt;
+    const endsTooSoon =
+      now + waitMs + this.#runAllowanceMs({ ...request, remainingMs }) > this.#shutdownAt;
     if (this.#closed || !target.takesWork || endsTooSoon) {
       return RefusalReason.Leaving;
     }
@@ -317,23 +318,26 @@
   }
 
   /** Time that a run of the request should be given before this sidecar ends, ms; by its deadline it is over. */
-  #roomMs(request: SlotRequest): number {
-    return Math.min(request.remainingMs, runRoomMs(this.#usualMs(request), request.isExpendable));
+  #runAllowanceMs(request: SlotRequest): number {
+    return Math.min(
+      request.remainingMs,
+      runRoomMs(this.#typicalRunMs(request), request.isExpendable),
+    );
   }
 
   /** What a request usually takes, ms. */
-  #usualMs({ typicalMs }: SlotRequest): number {
+  #typicalRunMs({ typicalMs }: SlotRequest): number {
     return typicalMs > 0 ? typicalMs : this.#serviceMs;
   }
 
   /** A slot is free, and nobody waits for it. */
-  get #isIdle(): boolean {
+  get #hasIdleSlot(): boolean {
     return this.#freeSlots > 0 && this.#queue.length === 0;
   }
 
   /** How long an ask will wait for a slot from now on, ms. */
   #waitMs(waiting: QueuedRequest): number {
-    if (this.#isIdle) {
+    if (this.#hasIdleSlot) {
       return 0;
     }
     const pace = { slots: this.#deps.target()?.slots ?? 1, serviceMs: this.#serviceMs };
@@ -353,7 +357,7 @@
     const { grants, detector } = this.#deps;
     const grant = grants.next();
     const isProbe = detector.isSuspect && detector.risk > request.acceptsRisk;
-    const grantMs = GRANT_MS + request.bodyBytes / GRANT_BYTES_PER_MS;
+    const grantMs = GRANT_TTL_MS + request.bodyBytes / MIN_UPLOAD_BYTES_PER_MS;
     this.#slots.grant(grant, request, isProbe, grantMs, () => {
       this.revoke(grant);
     });
@@ -364,41 +368,41 @@
   revoke(grant: GrantId): boolean {
     const wasGranted = this.#slots.revoke(grant);
     if (wasGranted) {
-      this.#serveNext();
+      this.#grantFreeSlots();
     }
     return wasGranted;
   }
 
   /** Gives free slots to those whose turn it is. */
-  #serveNext(): void {
+  #grantFreeSlots(): void {
     while (this.#freeSlots > 0) {
-      const turn = this.#queue.next(this.#deps.clock.now(), this.#serviceMs);
-      if (!turn) {
+      const dequeued = this.#queue.dequeue(this.#deps.clock.now(), this.#serviceMs);
+      if (!dequeued) {
         return;
       }
-      this.#giveTurn(turn);
+      this.#grantOrRefuse(dequeued);
     }
   }
 
   /** Grants a slot to the ask whose turn it is, unless it is of no use to it any more. */
-  #giveTurn({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["next"]>>): void {
+  #grantOrRefuse({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["dequeue"]>>): void {
     const now = this.#deps.clock.now();
     const remainingMs = waiting.request.remainingMs - (now - waiting.askedAt);
-    const left = { ...waiting.request, remainingMs };
+    const current = { ...waiting.request, remainingMs };
     if (!reply || remainingMs <= 0) {
       return; // Whoever asked has given up by its own clock.
     }
-    if (now + this.#roomMs(left) > this.#endAt) {
+    if (now + this.#runAllowanceMs(current) > this.#shutdownAt) {
       reply(this.#refuse(RefusalReason.Leaving, waiting));
-    } else if (!this.#deps.detector.admits(left, this.#slots.probes)) {
+    } else if (!this.#deps.detector.admits(current, this.#slots.probes)) {
       reply(this.#refuse(RefusalReason.Suspect, waiting));
     } else {
-      this.#queue.noteGrant(waiting, now, this.#serviceMs);
-      this.#grant(left, reply);
+      this.#queue.recordGrant(waiting, now, this.#serviceMs);
+      this.#grant(current, reply);
     }
   }
 
-  #noteServiceMs(ms: number): void {
-    this.#serviceMs += SERVICE_WEIGHT * (ms - this.#serviceMs);
+  #updateServiceMs(ms: number): void {
+    this.#serviceMs += SERVICE_TIME_SMOOTHING * (ms - this.#serviceMs);
   }
 }
--- a/src/sidecar/gate/GateServer.ts
+++ b/src/sidecar/gate/GateServer.ts
@@ -17,11 +17,11 @@
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import { HOP } from "../hop/HOP.ts";
 import { hopResponse } from "../hop/hopResponse.ts";
-import type { GrantName, TargetRunner } from "./TargetRunner.ts";
+import type { GrantRef, TargetRunner } from "./TargetRunner.ts";
 import { unknownOutcome } from "./unknownOutcome.ts";
 
 /** How often a sidecar that waits hears that its request is alive, ms; silence for three of these is suspicious. */
-const ALIVE_MS = 300;
+const ALIVE_INTERVAL_MS = 300;
 
 /** Connections from other sidecars are kept this long without use, ms. */
 const KEEP_ALIVE_MS = 30_000;
@@ -30,10 +30,10 @@
  * The sidecar that took the request from its caller has held its body against the document's limit. A
  * small one is taken whole here too: a target is not left with half of it when that sidecar ends.
  */
-const BODY = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
+const BODY_LIMITS = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
 
 /** Headers of ours; they end at this hop. */
-const OWN_HEADERS = new Set<string>(Object.values(HOP));
+const HOP_HEADERS = new Set<string>(Object.values(HOP));
 
 interface GateServerDeps {
   readonly runner: Pick<TargetRunner, "hold" | "release" | "run" | "outcomeOf" | "state">;
@@ -67,7 +67,7 @@
 
   async #route(req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (req.url === HOP.joinPath && req.headers[HOP.grant] !== undefined) {
-      await this.#join(req, res);
+      await this.#reattach(req, res);
     } else if (req.headers[HOP.attempt] !== undefined) {
       await this.#run(req, res);
     } else {
@@ -76,52 +76,52 @@
   }
 
   async #run(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const grant = grantOf(req);
-    const left = new AbortController();
+    const grant = readGrant(req);
+    const callerGone = new AbortController();
     res.once("close", () => {
       if (!res.writableFinished) {
-        left.abort();
+        callerGone.abort();
       }
     });
     const { runner, clock, log } = this.#deps;
     const arrivedAt = clock.now();
-    const alive = new AliveSignal(res, clock);
+    const aliveSignal = new AliveSignal(res, clock);
     // From its head on: whoever waits would take a body that is long on its way for a lost connection.
-    alive.start();
+    aliveSignal.start();
     if (!runner.hold(grant)) {
       req.resume();
-      const known = await runner.outcomeOf(grant);
-      alive.stop();
-      log.info({ ...grant, verdict: known.verdict, outcome: known.outcome }, "grant not usable");
-      this.#answer(res, known);
+      const result = await runner.outcomeOf(grant);
+      aliveSignal.stop();
+      log.info({ ...grant, verdict: result.verdict, outcome: result.outcome }, "grant not usable");
+      this.#respond(res, result);
       return;
     }
-    const opened = await openBody(req, BODY).catch((err: unknown) => {
-      alive.stop();
+    const opened = await openBody(req, BODY_LIMITS).catch((err: unknown) => {
+      aliveSignal.stop();
       runner.release(grant);
       throw err;
     });
     const body = "body" in opened ? opened.body : undefined;
     const startedAt = clock.now();
     const span = this.#deps.tracing.begin("sidecar.run", req.headers);
-    const out = await runner.run(grant, () => ({
-      ...this.#request(req, grant, { arrivedAt, left: left.signal }),
-      headers: withHeaders(ownHeadersOff(req.rawHeaders), span.headers),
+    const result = await runner.run(grant, () => ({
+      ...this.#request(req, grant, { arrivedAt, callerGone: callerGone.signal }),
+      headers: withHeaders(withoutHopHeaders(req.rawHeaders), span.headers),
       body,
       bodyLength: opened.kind === "stream" ? opened.length : undefined,
     }));
-    alive.stop();
+    aliveSignal.stop();
     const ms = Math.round(clock.now() - startedAt);
-    const ended = { ...grant, verdict: out.verdict, outcome: out.outcome, ms };
+    const ended = { ...grant, verdict: result.verdict, outcome: result.outcome, ms };
     log.info(ended, "run ended");
-    span.end(out.verdict.kind, out.verdict.kind === "done");
-    this.#answer(res, out);
+    span.end(result.verdict.kind, result.verdict.kind === "done");
+    this.#respond(res, result);
   }
 
   #request(
     req: IncomingMessage,
-    { attempt, target }: GrantName,
-    { arrivedAt, left }: { arrivedAt: number; left: AbortSignal },
+    { attempt, target }: GrantRef,
+    { arrivedAt, callerGone }: { arrivedAt: number; callerGone: AbortSignal },
   ): Omit<TargetRequest, "body" | "headers"> {
     const { headers } = req;
     const idempotent = headers[HOP.idempotent] === "1";
@@ -140,54 +140,54 @@
       idempotent,
       // Work that must not repeat runs to its end even when its caller leaves: cutting
       // it off would only leave its outcome unknown.
-      cancelled: idempotent ? left : undefined,
+      cancelled: idempotent ? callerGone : undefined,
       wholeAnswer: !idempotent,
     };
   }
 
-  async #join(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #reattach(req: IncomingMessage, res: ServerResponse): Promise<void> {
     req.resume();
-    const grant = grantOf(req);
+    const grant = readGrant(req);
     const state = this.#deps.runner.state(grant);
     const { target } = grant;
     this.#deps.log.info({ ...grant, state: state.kind }, "result requested again");
     switch (state.kind) {
       case "running": {
-        const alive = new AliveSignal(res, this.#deps.clock);
-        alive.start();
-        const out = await state.result;
-        alive.stop();
-        this.#answer(res, out);
+        const aliveSignal = new AliveSignal(res, this.#deps.clock);
+        aliveSignal.start();
+        const result = await state.result;
+        aliveSignal.stop();
+        this.#respond(res, result);
         return;
       }
       case "ended":
-        this.#answer(res, state.result);
+        this.#respond(res, state.result);
         return;
       case "forgotten":
       case "unknown":
-        this.#answer(res, unknownOutcome(target));
+        this.#respond(res, unknownOutcome(target));
     }
   }
 
-  #answer(res: ServerResponse, out: ForwardResult): void {
+  #respond(res: ServerResponse, result: ForwardResult): void {
     if (res.destroyed) {
       return;
     }
-    const own = hopResponse.headersOf(out);
-    if (!("body" in out)) {
-      res.writeHead(200, { ...own, "content-length": 0 });
+    const hopHeaders = hopResponse.headersOf(result);
+    if (!("body" in result)) {
+      res.writeHead(200, { ...hopHeaders, "content-length": 0 });
       res.end();
       return;
     }
-    const { body, headers } = out;
-    for (const [name, value] of Object.entries({ ...answerHeaders(headers), ...own })) {
+    const { body, headers } = result;
+    for (const [name, value] of Object.entries({ ...endToEndHeaders(headers), ...hopHeaders })) {
       if (value !== undefined) {
         res.setHeader(name, value);
       }
     }
-    res.statusCode = out.verdict.status;
+    res.statusCode = result.verdict.status;
     if (Buffer.isBuffer(body)) {
-      res.setHeader("content-length", lengthOf(res, headers, body));
+      res.setHeader("content-length", contentLength(res, headers, body));
       res.end(body);
     } else {
       // On a body cut short by the target, pipeline destroys this connection too, so
@@ -202,17 +202,17 @@
   }
 }
 
-function grantOf(req: IncomingMessage): GrantName {
-  const text = (name: string) => String(req.headers[name] ?? "");
+function readGrant(req: IncomingMessage): GrantRef {
+  const header = (name: string) => String(req.headers[name] ?? "");
   return {
-    attempt: AttemptId(text(HOP.attempt)),
-    target: TargetId(text(HOP.target)),
-    grant: GrantId(text(HOP.grant)),
+    attempt: AttemptId(header(HOP.attempt)),
+    target: TargetId(header(HOP.target)),
+    grant: GrantId(header(HOP.grant)),
   };
 }
 
-function ownHeadersOff(headers: HeaderList): HeaderList {
-  return endToEnd(headers, (name) => OWN_HEADERS.has(name));
+function withoutHopHeaders(headers: HeaderList): HeaderList {
+  return endToEnd(headers, (name) => HOP_HEADERS.has(name));
 }
 
 /** Tells the other side, while it waits, that its request is alive here (status 102, RFC 2518). */
@@ -232,7 +232,7 @@
       return;
     }
     this.#res.writeProcessing();
-    this.#timer = this.#clock.after(ALIVE_MS, () => {
+    this.#timer = this.#clock.after(ALIVE_INTERVAL_MS, () => {
       this.start();
     });
   }
@@ -244,7 +244,7 @@
 }
 
 /** The target's headers but for those of its connection. */
-function answerHeaders(
+function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[] | undefined> {
   const list = Object.keys(headers).flatMap((name) => [name, ""]);
@@ -253,7 +253,7 @@
 }
 
 /** A HEAD answer keeps the length that the target gave; any other has its body's. */
-function lengthOf(
+function contentLength(
   res: ServerResponse,
   headers: Readonly<Record<string, string | string[] | undefined>>,
   body: Buffer,
--- a/src/sidecar/gate/SlotRequestQueue.ts
+++ b/src/sidecar/gate/SlotRequestQueue.ts
@@ -3,14 +3,14 @@
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Whether the first goes before the second, at a time (ms), when a request takes so long (ms). */
-type AskOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
+type QueueOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
 
 /** Asks waiting for a slot at one target, taken in the order that `goesBefore` gives. */
 export class SlotRequestQueue {
   readonly #waiting: QueuedRequest[] = [];
-  readonly #goesBefore: AskOrder;
+  readonly #goesBefore: QueueOrder;
 
-  constructor(order: AskOrder = goesBefore) {
+  constructor(order: QueueOrder = goesBefore) {
     this.#goesBefore = order;
   }
 
@@ -24,11 +24,11 @@
 
   /** Takes one back; false when it is not here any more. */
   remove(waiting: QueuedRequest): boolean {
-    const at = this.#waiting.indexOf(waiting);
-    if (at < 0) {
+    const index = this.#waiting.indexOf(waiting);
+    if (index < 0) {
       return false;
     }
-    this.#waiting.splice(at, 1);
+    this.#waiting.splice(index, 1);
     return true;
   }
 
@@ -59,9 +59,9 @@
   }
 
   /** Removes and returns all that `isDue` picks. */
-  takeAll(isDue: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
-    const due = this.#waiting.filter(isDue);
-    due.forEach((w) => this.remove(w));
-    return due;
+  removeWhere(shouldRemove: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
+    const removed = this.#waiting.filter(shouldRemove);
+    removed.forEach((w) => this.remove(w));
+    return removed;
   }
 }
--- a/src/sidecar/gate/SlotServer.ts
+++ b/src/sidecar/gate/SlotServer.ts
@@ -15,7 +15,7 @@
 type GateMessage = ProtoTypes["GateMessage"];
 
 /** The answer for a target that is not here. */
-const NOT_HERE: SlotReply = {
+const NO_TARGET_REPLY: SlotReply = {
   kind: "refused",
   reason: RefusalReason.NoTarget,
   retryAfterMs: RETRY_AFTER_MS,
@@ -32,16 +32,16 @@
 };
 
 /** A grant that has not been taken is told again after each of these, ms: it may have been lost, and expires after 250. */
-const GRANT_AGAIN_MS = [60, 140];
+const GRANT_RESEND_DELAYS_MS = [60, 140];
 
 /** An ask is remembered for this long after its answer, ms: it may be sent again, as its answer was lost. */
-const REMEMBER_MS = 1000;
+const RETENTION_MS = 1000;
 
 /** How often asks that are over are forgotten, ms. */
 const SWEEP_MS = 500;
 
 /** Those who have asked within this long hear of what is thought of the target, ms. */
-const SUBSCRIBED_MS = 10_000;
+const SUBSCRIPTION_MS = 10_000;
 
 /** Those who hear of it, at most; the others ask, and are told then. */
 const MAX_SUBSCRIBERS = 128;
@@ -60,11 +60,11 @@
   readonly request: SlotRequest;
   readonly askedAt: number;
   /** What was said of it last. */
-  said: GateMessage | undefined;
+  lastMessage: GateMessage | undefined;
   /** The last word has been said: it was granted, or refused. */
-  isOver: boolean;
+  isSettled: boolean;
   /** Time from which it is of no use any more, ms. */
-  forgetAt: number;
+  expiresAt: number;
   withdraw: () => void;
 }
 
@@ -77,7 +77,7 @@
   readonly #deps: SlotServerDeps;
   readonly #entries = new Map<string, Entry>();
   /** When each sidecar asked last, by its address; the last to ask stands last. */
-  readonly #askers = new Map<string, number>();
+  readonly #subscribers = new Map<string, number>();
   #sweptAt = -Infinity;
 
   constructor(deps: SlotServerDeps) {
@@ -96,81 +96,81 @@
     if (!request) {
       return;
     }
-    const { said } = this.#entries.get(key) ?? {};
-    if (said) {
-      this.#deps.tell(from, said);
+    const { lastMessage } = this.#entries.get(key) ?? {};
+    if (lastMessage) {
+      this.#deps.tell(from, lastMessage);
     } else {
-      this.#take(key, request, message.ask_id, from);
+      this.#accept(key, request, message.ask_id, from);
     }
   }
 
   /** Tells those who have asked lately how a target is. */
   publishLoad(target: TargetId, load: GateLoad): void {
-    const since = this.#deps.clock.now() - SUBSCRIBED_MS;
-    const news = gateWire.news(target, load);
-    const askers = [...this.#askers].filter(([, at]) => at >= since).slice(-MAX_SUBSCRIBERS);
-    for (const [address] of askers) {
-      this.#deps.tell(address, news);
+    const since = this.#deps.clock.now() - SUBSCRIPTION_MS;
+    const update = gateWire.news(target, load);
+    const recent = [...this.#subscribers].filter(([, at]) => at >= since).slice(-MAX_SUBSCRIBERS);
+    for (const [address] of recent) {
+      this.#deps.tell(address, update);
     }
   }
 
-  #take(key: string, request: SlotRequest, id: number, from: string): void {
+  #accept(key: string, request: SlotRequest, id: number, from: string): void {
     const { clock } = this.#deps;
     const askedAt = clock.now();
     this.#sweep(askedAt);
-    this.#askers.delete(from);
-    this.#askers.set(from, askedAt);
+    this.#subscribers.delete(from);
+    this.#subscribers.set(from, askedAt);
     const entry: Entry = {
       request,
       askedAt,
-      said: undefined,
-      isOver: false,
-      forgetAt: askedAt + request.remainingMs + REMEMBER_MS,
+      lastMessage: undefined,
+      isSettled: false,
+      expiresAt: askedAt + request.remainingMs + RETENTION_MS,
       withdraw: () => undefined,
     };
     this.#entries.set(key, entry);
-    const say = (message: GateMessage) => {
-      entry.said = message;
+    const send = (message: GateMessage) => {
+      entry.lastMessage = message;
       this.#deps.tell(from, message);
     };
-    const answer = (reply: SlotReply) => {
-      entry.isOver = true;
-      entry.forgetAt = clock.now() + REMEMBER_MS;
-      this.#note(entry, reply);
-      say(gateWire.reply(id, reply));
+    const onReply = (reply: SlotReply) => {
+      entry.isSettled = true;
+      entry.expiresAt = clock.now() + RETENTION_MS;
+      this.#recordReply(entry, reply);
+      send(gateWire.reply(id, reply));
       if (reply.kind === "granted") {
-        this.#tellAgain(entry, reply.grant, from);
+        this.#scheduleGrantResends(entry, reply.grant, from);
       }
     };
     const gate = this.#deps.gates.get(request.target);
     if (!gate) {
-      answer(NOT_HERE);
+      onReply(NO_TARGET_REPLY);
       return;
     }
-    const ticket = gate.requestSlot(request, answer);
+    const handle = gate.requestSlot(request, onReply);
     entry.withdraw = () => {
-      ticket.withdraw();
+      handle.withdraw();
     };
-    if (ticket.queued) {
-      say(gateWire.queued(id, gate.load));
+    if (handle.queued) {
+      send(gateWire.queued(id, gate.load));
     }
   }
 
-  #tellAgain({ request, said }: Entry, grant: GrantId, from: string): void {
-    for (const ms of GRANT_AGAIN_MS) {
+  #scheduleGrantResends({ request, lastMessage }: Entry, grant: GrantId, from: string): void {
+    for (const ms of GRANT_RESEND_DELAYS_MS) {
       this.#deps.clock.after(ms, () => {
-        if (said && this.#isOpen(request.target, grant)) {
-          this.#deps.tell(from, said);
+        if (lastMessage && this.#isPending(request.target, grant)) {
+          this.#deps.tell(from, lastMessage);
         }
       });
     }
   }
 
-  #isOpen(target: TargetId, grant: GrantId): boolean {
-    return this.#deps.gates.get(target)?.isOpen(grant) ?? false;
+  #isPending(target: TargetId, grant: GrantId): boolean {
+    return this.#deps.gates.get(target)?.isPending(grant) ?? false;
   }
 
-  #note({ request, askedAt }: Entry, reply: SlotReply): void {
+  #recordReply({ request, askedAt }: Entry, reply: SlotReply): void {
     const { metrics, clock, log } = this.#deps;
     if (reply.kind === "granted") {
       metrics.waited(clock.now() - askedAt);
@@ -188,16 +188,16 @@
     }
     this.#sweptAt = now;
     for (const [key, entry] of this.#entries) {
-      if (entry.forgetAt <= now) {
+      if (entry.expiresAt <= now) {
         this.#entries.delete(key);
-        if (!entry.isOver) {
+        if (!entry.isSettled) {
           entry.withdraw();
         }
       }
     }
-    for (const [address, at] of this.#askers) {
-      if (at < now - SUBSCRIBED_MS) {
-        this.#askers.delete(address);
+    for (const [address, at] of this.#subscribers) {
+      if (at < now - SUBSCRIPTION_MS) {
+        this.#subscribers.delete(address);
       }
     }
   }
--- a/src/sidecar/gate/SlotTable.ts
+++ b/src/sidecar/gate/SlotTable.ts
@@ -5,7 +5,7 @@
 import type { SlotRequest } from "../hop/SlotRequest.ts";
 
 /** What holds a slot: a grant that is to be taken, or a run. */
-interface Held {
+interface SlotHolder {
   readonly request: SlotRequest;
   readonly state: "granted" | "running";
   /** When it was granted, or its run began, by the clock, ms. */
@@ -21,7 +21,7 @@
 /** The slots of a target that are granted or in use, and since when. */
 export class SlotTable {
   readonly #clock: Clock;
-  readonly #held = new Map<GrantId, Held>();
+  readonly #holders = new Map<GrantId, SlotHolder>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
@@ -29,22 +29,22 @@
 
   /** Slots granted or in use. */
   get size(): number {
-    return this.#held.size;
+    return this.#holders.size;
   }
 
   /** Requests granted or under way that will tell whether the target is well. */
   get probes(): number {
-    return [...this.#held.values()].filter((h) => h.isProbe).length;
+    return [...this.#holders.values()].filter((h) => h.isProbe).length;
   }
 
   /** Whether `attempt` has a slot, granted or in use. */
   has(attempt: AttemptId): boolean {
-    return [...this.#held.values()].some((h) => h.request.attempt === attempt);
+    return [...this.#holders.values()].some((h) => h.request.attempt === attempt);
   }
 
   /** Whether a slot is granted that has not been taken yet. */
-  isOpen(grant: GrantId): boolean {
-    return this.#held.get(grant)?.state === "granted";
+  isPending(grant: GrantId): boolean {
+    return this.#holders.get(grant)?.state === "granted";
   }
 
   /** Grants a slot; `onExpired` is called if it is not taken within `expiresMs`. */
@@ -52,12 +52,12 @@
     grant: GrantId,
     request: SlotRequest,
     isProbe: boolean,
-    expiresMs: number,
+    ttlMs: number,
     onExpired: () => void,
   ): void {
-    const timer = this.#clock.after(expiresMs, onExpired);
+    const timer = this.#clock.after(ttlMs, onExpired);
     const since = this.#clock.now();
-    this.#held.set(grant, {
+    this.#holders.set(grant, {
       request,
       state: "granted",
       since,
@@ -69,24 +69,24 @@
 
   /** Keeps a grant that was not taken for as long as its request has; false when there is none. */
   hold(grant: GrantId, onExpired: () => void): boolean {
-    const held = this.#held.get(grant);
-    if (held?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return false;
     }
-    held.timer.cancel();
-    const timer = this.#clock.after(held.request.remainingMs, onExpired);
-    this.#held.set(grant, { ...held, timer });
+    holder.timer.cancel();
+    const timer = this.#clock.after(holder.request.remainingMs, onExpired);
+    this.#holders.set(grant, { ...holder, timer });
     return true;
   }
 
   /** Takes back a grant that was not taken; true when there was one. */
   revoke(grant: GrantId): boolean {
-    const held = this.#held.get(grant);
-    if (held?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return false;
     }
-    held.timer.cancel();
-    return this.#held.delete(grant);
+    holder.timer.cancel();
+    return this.#holders.delete(grant);
   }
 
   /**
@@ -99,30 +99,37 @@
     overdueMs: (request: SlotRequest) => number,
     onOverdue: (since: number) => boolean,
   ): SlotRequest | undefined {
-    const granted = this.#held.get(grant);
-    if (granted?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return undefined;
     }
-    granted.timer.cancel();
-    const { request, isProbe } = granted;
+    holder.timer.cancel();
+    const { request, isProbe } = holder;
     const since = this.#clock.now();
     const timer = this.#clock.after(overdueMs(request), () => {
       running.isOverdue = onOverdue(since);
     });
-    const running: Held = { request, state: "running", since, timer, isProbe, isOverdue: false };
-    this.#held.set(grant, running);
+    const running: SlotHolder = {
+      request,
+      state: "running",
+      since,
+      timer,
+      isProbe,
+      isOverdue: false,
+    };
+    this.#holders.set(grant, running);
     return request;
   }
 
   /** Ends a run; undefined when none is under way. */
   end(grant: GrantId): { request: SlotRequest; ms: number; wasOverdue: boolean } | undefined {
-    const held = this.#held.get(grant);
-    if (held?.state !== "running") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "running") {
       return undefined;
     }
-    held.timer.cancel();
-    this.#held.delete(grant);
-    const { request, since, isOverdue } = held;
+    holder.timer.cancel();
+    this.#holders.delete(grant);
+    const { request, since, isOverdue } = holder;
     return { request, ms: this.#clock.now() - since, wasOverdue: isOverdue };
   }
 }
--- a/src/sidecar/gate/TargetRunner.test.ts
+++ b/src/sidecar/gate/TargetRunner.test.ts
@@ -15,7 +15,7 @@
 import { GrantIds } from "./GrantIds.ts";
 import { ActiveRuns } from "./ActiveRuns.ts";
 import { RunTable } from "./RunTable.ts";
-import { TargetRunner, type GrantName } from "./TargetRunner.ts";
+import { TargetRunner, type GrantRef } from "./TargetRunner.ts";
 
 const BOOT = "this life";
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
@@ -51,10 +51,10 @@
     grants,
     log,
   });
-  const run = (name: GrantName, over: Partial<TargetRequest> = {}) =>
+  const run = (name: GrantRef, over: Partial<TargetRequest> = {}) =>
     runner.run(name, () => ({ deadlineAt: 0, ...over }) as TargetRequest);
   /** Has a slot granted; returns how the grant is named. */
-  const ask = (): GrantName => {
+  const ask = (): GrantRef => {
     let grant = GrantId("none");
     gate.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       grant = reply.kind === "granted" ? reply.grant : grant;
--- a/src/sidecar/gate/TargetRunner.ts
+++ b/src/sidecar/gate/TargetRunner.ts
@@ -16,7 +16,7 @@
 import { EXPIRED_GRANT } from "./EXPIRED_GRANT.ts";
 
 /** A grant, as whoever was given it names it. */
-export interface GrantName {
+export interface GrantRef {
   readonly attempt: AttemptId;
   readonly target: TargetId;
   readonly grant: GrantId;
@@ -46,25 +46,25 @@
    * Keeps the slot of a request whose head has arrived while its body is on its way; false when the grant has expired.
    * A large body on a slow link takes longer than a grant lasts.
    */
-  hold({ target, grant }: GrantName): boolean {
+  hold({ target, grant }: GrantRef): boolean {
     return this.#deps.gates.get(target)?.hold(grant) ?? false;
   }
 
   /** Gives back the slot of a request whose body broke off. */
-  release({ target, grant }: GrantName): void {
+  release({ target, grant }: GrantRef): void {
     this.#deps.gates.get(target)?.revoke(grant);
   }
 
   /** Runs the request that a grant was given for. */
-  run(name: GrantName, makeRequest: () => TargetRequest): Promise<ForwardResult> {
-    const target = this.#deps.target(name.target);
-    const gate = this.#deps.gates.get(name.target);
-    if (!target || !gate?.take(name.grant)) {
-      return this.outcomeOf(name);
+  run(ref: GrantRef, makeRequest: () => TargetRequest): Promise<ForwardResult> {
+    const target = this.#deps.target(ref.target);
+    const gate = this.#deps.gates.get(ref.target);
+    if (!target || !gate?.take(ref.grant)) {
+      return this.outcomeOf(ref);
     }
     const req = makeRequest();
-    const run = this.#send(gate, name, target, req);
-    this.#deps.runs.track(name.grant, run, req.deadlineAt);
+    const run = this.#send(gate, ref, target, req);
+    this.#deps.runs.track(ref.grant, run, req.deadlineAt);
     return run;
   }
 
@@ -72,7 +72,7 @@
    * The outcome of a request that cannot use its grant: that of the run which used it already, or not-run where the
    * grant has run out, or was given by an earlier life of the process.
    */
-  outcomeOf({ target, grant }: GrantName): Promise<ForwardResult> {
+  outcomeOf({ target, grant }: GrantRef): Promise<ForwardResult> {
     const state = this.#deps.runs.state(grant);
     switch (state.kind) {
       case "running":
@@ -89,7 +89,7 @@
    * How a run stands, for whoever lost the connection to it. A grant that was not
    * taken is taken back: its request will never run.
    */
-  state({ target, grant }: GrantName): RunState {
+  state({ target, grant }: GrantRef): RunState {
     if (this.#deps.gates.get(target)?.revoke(grant)) {
       return { kind: "ended", result: notRun("the grant was not taken") };
     }
@@ -103,18 +103,18 @@
 
   async #send(
     gate: Gate,
-    { attempt, grant }: GrantName,
+    { attempt, grant }: GrantRef,
     target: TargetInfo,
     req: TargetRequest,
   ): Promise<ForwardResult> {
-    const here = this.#deps.here.begin();
+    const activeRun = this.#deps.here.begin();
     let outcome = AttemptOutcome.NoAnswer;
     try {
-      const out = await this.#deps.send(target, { ...req, lost: gate.life });
-      outcome = this.#evidenceOf(out, here, { attempt, target: target.id });
-      return { ...out, calls: this.#deps.here.callMeans };
+      const result = await this.#deps.send(target, { ...req, lost: gate.retired });
+      outcome = this.#detectorOutcome(result, activeRun, { attempt, target: target.id });
+      return { ...result, calls: this.#deps.here.callMeans };
     } finally {
-      here.end();
+      activeRun.end();
       gate.end(grant, outcome);
     }
   }
@@ -124,7 +124,7 @@
    * own was not served fails for want of that call: held against the target, one gray service has the targets of every
    * service that calls it ejected.
    */
-  #evidenceOf(
+  #detectorOutcome(
     { outcome }: ForwardResult,
     here: ReturnType<ActiveRuns["begin"]>,
     names: { attempt: AttemptId; target: TargetId },
--- a/src/sidecar/gate/WaitEstimator.test.ts
+++ b/src/sidecar/gate/WaitEstimator.test.ts
@@ -107,7 +107,7 @@
   test(`line forecast: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     for (let n = 0; n < 20; n++) {
-      estimator.noteGrant({ isCall: n < callGrants, isLate: false });
+      estimator.recordGrant({ isCall: n < callGrants, isLate: false });
     }
     const request = makeSlotRequest({ isCall, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS });
     const ms = estimator.waitMs({ request, askedAt: 0 }, new SlotRequestQueue(), 0, PACE);
@@ -119,7 +119,7 @@
   test(`line forecast: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     lateGrants.forEach((wasLate) => {
-      estimator.noteGrant({ isCall: false, isLate: wasLate });
+      estimator.recordGrant({ isCall: false, isLate: wasLate });
     });
     const queue = new SlotRequestQueue();
     line.forEach((waiting) => {
--- a/src/sidecar/gate/WaitEstimator.ts
+++ b/src/sidecar/gate/WaitEstimator.ts
@@ -3,10 +3,10 @@
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /** Share of the waiting asks that come to run here: the others take another gate's grant. */
-const ASKS_THAT_STAY = 0.5;
+const SERVED_HERE_SHARE = 0.5;
 
 /** Grants from which it is told how often a late one gets its turn: at five slots and half a second of work, the last two seconds'. */
-const WINDOW = 20;
+const GRANT_WINDOW = 20;
 
 /** How fast a target works its line off. */
 interface Pace {
@@ -16,7 +16,7 @@
 }
 
 /** A grant, as far as it tells what those that are behind in line may expect. */
-interface Granted {
+interface GrantRecord {
   /** It went to a call that a target makes. */
   readonly isCall: boolean;
   /** It went to one that is late anyway. */
@@ -30,13 +30,13 @@
  * is over. That is told from the shares of each among those who were served last.
  */
 export class WaitEstimator {
-  readonly #granted: Granted[] = [];
+  readonly #recentGrants: GrantRecord[] = [];
 
   /** Notes that an ask was given a slot. */
-  noteGrant(granted: Granted): void {
-    this.#granted.push(granted);
-    if (this.#granted.length > WINDOW) {
-      this.#granted.shift();
+  recordGrant(granted: GrantRecord): void {
+    this.#recentGrants.push(granted);
+    if (this.#recentGrants.length > GRANT_WINDOW) {
+      this.#recentGrants.shift();
     }
   }
 
@@ -47,28 +47,31 @@
     now: number,
     { slots, serviceMs }: Pace,
   ): number {
-    const turnMs = serviceMs / Math.max(1, slots);
+    const msPerGrant = serviceMs / Math.max(1, slots);
     const ahead = queue.ahead(waiting, now, serviceMs);
-    const soonMs = this.#turns(waiting, ahead) * turnMs;
+    const onTimeWaitMs = this.#grantsUntilServed(waiting, ahead) * msPerGrant;
     // One that will be late by its turn comes to stand with the late ones.
-    if (!isLate(waiting, now + soonMs, serviceMs)) {
-      return soonMs;
+    if (!isLate(waiting, now + onTimeWaitMs, serviceMs)) {
+      return onTimeWaitMs;
     }
     const lateAhead = ahead.filter((w) => isLate(w, now, serviceMs)).length;
     const onTime = queue.length - queue.countLate(now, serviceMs);
-    const lateTurns = (lateAhead * ASKS_THAT_STAY + 1) / this.#lateShare;
-    return Math.max(soonMs, (onTime * ASKS_THAT_STAY + lateTurns) * turnMs);
+    const lateGrants = (lateAhead * SERVED_HERE_SHARE + 1) / this.#lateShare;
+    return Math.max(onTimeWaitMs, (onTime * SERVED_HERE_SHARE + lateGrants) * msPerGrant);
   }
 
   /** Turns until that of one which is not late, itself included. */
-  #turns({ request }: QueuedRequest, ahead: readonly QueuedRequest[]): number {
-    const turns = ahead.length * ASKS_THAT_STAY + 1;
+  #grantsUntilServed({ request }: QueuedRequest, ahead: readonly QueuedRequest[]): number {
+    const grants = ahead.length * SERVED_HERE_SHARE + 1;
     if (request.isCall) {
-      return turns;
+      return grants;
     }
     // Calls that have not come yet will go before it, too.
-    const own = ahead.filter((w) => !w.request.isCall).length;
-    return Math.max(turns, (own * ASKS_THAT_STAY + 1) / this.#shareOf((g) => !g.isCall));
+    const callersAhead = ahead.filter((w) => !w.request.isCall).length;
+    return Math.max(
+      grants,
+      (callersAhead * SERVED_HERE_SHARE + 1) / this.#shareOf((g) => !g.isCall),
+    );
   }
 
   /** Share of the grants that late asks get; all, until the others are seen to take them. */
@@ -76,8 +79,8 @@
     return this.#shareOf((g) => g.isLate);
   }
 
-  #shareOf(isOfKind: (granted: Granted) => boolean): number {
-    const others = this.#granted.filter((g) => !isOfKind(g)).length;
-    return 1 - others / (WINDOW + 1);
+  #shareOf(isOfKind: (granted: GrantRecord) => boolean): number {
+    const others = this.#recentGrants.filter((g) => !isOfKind(g)).length;
+    return 1 - others / (GRANT_WINDOW + 1);
   }
 }
