--- a/src/sidecar/gate/ActiveRuns.test.ts
+++ b/src/sidecar/gate/ActiveRuns.test.ts
@@ -4,7 +4,7 @@
 
 const CALL = { route: "r", service: "svc", weight: 1 };
 
-test("runs here: those under way are counted", (t) => {
+test("active runs: count covers runs that have begun and not ended", (t) => {
   const runs = new ActiveRuns(new FakeClock());
   const first = runs.begin();
   const second = runs.begin();
@@ -15,13 +15,13 @@
   t.is(runs.count, 0);
 });
 
-test("runs here: the share of the time without any", async (t) => {
+test("active runs: overlapping runs count once in the idle share", async (t) => {
   const clock = new FakeClock();
   const runs = new ActiveRuns(clock);
   await clock.advance(300);
-  const begun = [runs.begin(), runs.begin()];
+  const overlapping = [runs.begin(), runs.begin()];
   await clock.advance(500);
-  begun.forEach((run) => {
+  overlapping.forEach((run) => {
     run.end();
   });
   await clock.advance(200);
@@ -46,11 +46,11 @@
   },
 ];
 
-/** When the run of the cases begins, ms. */
+/** When the run begins, ms. */
 const RUN_STARTS_MS = 10;
 
 for (const { name, callStartsMs, callEndsMs, runFailsMs, explains } of losses) {
-  test(`runs here: a lost call that ${name} ${explains ? "explains" : "does not explain"} a failed run`, async (t) => {
+  test(`active runs: a lost nested call that ${name} ${explains ? "explains" : "does not explain"} a failed run`, async (t) => {
     const clock = new FakeClock();
     const runs = new ActiveRuns(clock);
     let end: (wasServed: boolean) => void = () => undefined;
@@ -65,11 +65,11 @@
     await clock.advance(runFailsMs - RUN_STARTS_MS);
     const call = { route: "r", startedAt: callStartsMs, endedAt: callEndsMs };
     t.deepEqual(run.takeLostCall(), explains ? call : undefined);
-    t.is(run.takeLostCall(), undefined, "it explains one run");
+    t.is(run.takeLostCall(), undefined, "a lost call explains one run only");
   });
 }
 
-test("runs here: a run may be waiting for a call that was made since it began, until that has ended", async (t) => {
+test("active runs: a nested call is open for runs that began before it, until it ends", async (t) => {
   const clock = new FakeClock();
   const runs = new ActiveRuns(clock);
   await clock.advance(100);
@@ -78,10 +78,10 @@
   t.false(runs.hasOpenCall(150));
   end(true);
   t.false(runs.hasOpenCall(50));
-  t.is(runs.begin().takeLostCall(), undefined, "a call that was served explains nothing");
+  t.is(runs.begin().takeLostCall(), undefined, "a served call does not explain a failure");
 });
 
-test("runs here: what has been idle long ago says nothing of now", async (t) => {
+test("active runs: idle time before the window does not make a busy target look idle", async (t) => {
   const clock = new FakeClock();
   const runs = new ActiveRuns(clock);
   await clock.advance(60_000);
@@ -93,7 +93,7 @@
   t.is(runs.idleShare, 0);
 });
 
-test("runs here: the calls that a run makes, on average", async (t) => {
+test("active runs: mean nested calls per run weigh each call by its probability", async (t) => {
   const clock = new FakeClock();
   const runs = new ActiveRuns(clock);
   const mean = () => runs.callMeans.get("svc") ?? 0;
--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -2,53 +2,54 @@
 import { CallsPerRun, type CallMeans } from "./CallsPerRun.ts";
 
 /**
- * A target that cannot do without a call fails its run this soon after the call's answer, ms: the answer has
- * to reach it, and its own the sidecar, both on one VM, with time for a pause of either process.
+ * Longest time between the end of a failed nested call and the failure of the run that depends on it, ms. The call's
+ * response has to reach the target and the target's own response the sidecar, both on one VM; the rest is margin for a
+ * pause of either process.
  */
 const LOST_CALL_WINDOW_MS = 100;
 
 /**
- * How far back the share of idle time looks, ms. Over the whole life of a process a quiet start makes a busy target
- * look idle, and callers' requests, of which none meets it idle, like calls.
+ * Window over which the idle share is measured, ms. Measured since the start of the process, a quiet start would make
+ * a busy target look idle, and requests of callers, none of which arrives while it is idle, look like nested calls.
  */
 const IDLE_WINDOW_MS = 10_000;
 
-/** A call that a target made in the midst of its work, and that was not served. */
+/** A nested call that was not served. */
 interface LostCall {
   readonly route: string;
-  /** By the steady clock, ms. */
+  /** By the monotonic clock, ms. */
   readonly startedAt: number;
   readonly endedAt: number;
 }
 
-/** What is known of a call when it is made. */
+/** A nested call, as known when it is made. */
 interface NestedCall {
   readonly route: string;
   readonly service: string;
-  /** Chance that it is a call, and not a caller's request. */
+  /** Probability that it is a nested call rather than a caller's request, 0 to 1. */
   readonly weight: number;
 }
 
-/** A run under way. */
+/** A run in progress. */
 interface Run {
-  /** It has ended. */
+  /** Marks the run as ended. */
   end(): void;
   /**
-   * The call whose loss explains that the run fails now: it was made after the run began, and has just
-   * ended. Each explains one run, and is not told again.
+   * Removes and returns a lost nested call that explains why the run fails now: one that was made after the run began
+   * and has just ended. Each lost call explains one run only.
    */
   takeLostCall(): LostCall | undefined;
 }
 
-/** The runs under way at the targets beside this sidecar, and the calls that these make. */
+/** Tracks the runs in progress at the local targets, and the nested calls that they make. */
 export class ActiveRuns {
   readonly #clock: Clock;
   readonly #startedAt: number;
   #count = 0;
-  /** Times with a run under way, ended within the window. */
+  /** Periods with at least one run in progress that ended within the idle window. */
   #busyPeriods: { readonly from: number; readonly until: number }[] = [];
   #busySince = 0;
-  /** When each call that waits for its answer was made. */
+  /** Nested calls that have no response yet. */
   readonly #openCalls = new Set<{ readonly startedAt: number }>();
   #lostCalls: LostCall[] = [];
   readonly #callsPerRun: CallsPerRun;
@@ -59,17 +60,17 @@
     this.#callsPerRun = new CallsPerRun(clock);
   }
 
-  /** How many there are. */
+  /** Number of runs in progress. */
   get count(): number {
     return this.#count;
   }
 
-  /** Calls that a run makes here, on average. */
+  /** Mean number of nested calls per run, by called service. */
   get callMeans(): CallMeans {
     return this.#callsPerRun.means;
   }
 
-  /** Share of the last seconds, as far as this process has been there, in which there was none. */
+  /** Share of the idle window, or of the shorter time since the start, without any run in progress, 0 to 1. */
   get idleShare(): number {
     const now = this.#clock.now();
     const from = Math.max(this.#startedAt, now - IDLE_WINDOW_MS);
@@ -82,7 +83,7 @@
     return now > from ? 1 - busyMs / (now - from) : 1;
   }
 
-  /** Notes that one begins. */
+  /** Records the start of a run. */
   begin(): Run {
     const startedAt = this.#clock.now();
     if (this.#count === 0) {
@@ -101,7 +102,7 @@
     };
   }
 
-  /** Notes that a call begins; returns what to call when it has ended. */
+  /** Records the start of a nested call; the returned function records its end. */
   beginCall({ route, service, weight }: NestedCall): (wasServed: boolean) => void {
     const call = { startedAt: this.#clock.now() };
     this.#openCalls.add(call);
@@ -114,7 +115,7 @@
     };
   }
 
-  /** Whether a call made since `since` waits for its answer: a run that began then may be waiting with it. */
+  /** Whether a nested call made at or after `since` (ms) is open: a run that began then may be waiting for it. */
   hasOpenCall(since: number): boolean {
     return [...this.#openCalls].some((call) => call.startedAt >= since);
   }
--- a/src/sidecar/gate/CallsPerRun.ts
+++ b/src/sidecar/gate/CallsPerRun.ts
@@ -1,22 +1,22 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import { DecayingScore } from "../detection/DecayingScore.ts";
 
-/** Calls that a run makes, on average, by the names of the services called. */
+/** Mean number of nested calls per run, by name of the called service. */
 export type CallMeans = ReadonlyMap<string, number>;
 
-/** What is counted loses half of its weight in this time, ms: a few dozen runs of a busy target, a few of a quiet one. */
+/** Half-life of the counts, ms: a few dozen runs of a busy target, a few of a quiet one. */
 const HALF_LIFE_MS = 10_000;
 
-/** Runs before the means tell much count as so many of those that make no calls. */
+/** Runs without nested calls that are assumed initially, to damp the means until enough runs have been counted. */
 const PRIOR_RUNS = 1;
 
-/** A mean below this is not worth telling. */
+/** Means below this are not reported. */
 const MIN_MEAN = 0.02;
 
 /**
- * Counts the calls that the targets beside this sidecar make, for each run. Whoever sends a request again has
- * its calls made again too, at services whose retry budgets it takes from: half of what went over such a budget
- * was calls that nobody had asked leave for.
+ * Measures how many nested calls the local targets make per run. Retrying a request also repeats its nested calls, which
+ * count against the retry budgets of the called services: without counting them, half of the requests that exceeded
+ * such a budget were nested calls for which no retry token had been borrowed.
  */
 export class CallsPerRun {
   readonly #clock: Clock;
@@ -28,12 +28,12 @@
     this.#runs = this.#createCounter();
   }
 
-  /** Notes that a run begins. */
+  /** Records the start of a run. */
   recordRun(): void {
     this.#runs.add(1, Infinity);
   }
 
-  /** Notes a request to `service` that begins here, and is a call with the chance `weight`. */
+  /** Records a request to `service` that is a nested call with probability `weight`, 0 to 1. */
   recordCall(service: string, weight: number): void {
     let calls = this.#calls.get(service);
     if (!calls) {
@@ -43,7 +43,7 @@
     calls.add(weight, Infinity);
   }
 
-  /** What a run makes of them, on average. */
+  /** Mean number of nested calls per run, by called service. */
   get means(): CallMeans {
     const runs = this.#runs.value + PRIOR_RUNS;
     const means = [...this.#calls].map(
