--- a/src/sidecar/gate/AdmissionQueue.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -7,13 +7,13 @@
 
 type ReplyCallback = (reply: SlotReply) => void;
 
-/** An ask whose turn has come, and whoever waits for its answer; undefined where that has given up. */
+/** The slot request that is next in order, and its reply callback; without one if the request was withdrawn. */
 interface DequeuedRequest {
   readonly waiting: QueuedRequest;
   readonly reply: ReplyCallback | undefined;
 }
 
-/** The asks that stand in line at a gate, with those who wait for their answers. */
+/** The slot requests queued at a gate, with their reply callbacks and an estimate of their waits. */
 export class AdmissionQueue {
   readonly #queue: SlotRequestQueue;
   readonly #estimator = new WaitEstimator();
@@ -32,13 +32,13 @@
     this.#replies.set(waiting, reply);
   }
 
-  /** Takes one out; false when it is not here any more. */
+  /** Removes a request; false if it is no longer queued. */
   remove(waiting: QueuedRequest): boolean {
     this.#replies.delete(waiting);
     return this.#queue.remove(waiting);
   }
 
-  /** Takes out the one whose turn it is, at `now`, when a request takes `serviceMs`. */
+  /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
   dequeue(now: number, serviceMs: number): DequeuedRequest | undefined {
     const waiting = this.#queue.take(now, serviceMs);
     if (!waiting) {
@@ -49,7 +49,7 @@
     return { waiting, reply };
   }
 
-  /** Takes out all that are to be refused, and tells those who wait for them. */
+  /** Removes all requests for which `refusalOf` gives a reason, and replies to each with the refusal. */
   refuseWhere(
     refusalOf: (waiting: QueuedRequest) => RefusalReason | undefined,
     makeReply: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
@@ -68,13 +68,13 @@
     }
   }
 
-  /** Notes that an ask was given a slot, in line or as it came. */
+  /** Records that a slot was granted to a request, queued or newly received. */
   recordGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
     const { isCall } = waiting.request;
     this.#estimator.recordGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
   }
 
-  /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
+  /** Estimated remaining wait of `waiting`, queued or about to be, ms. */
   waitMs(waiting: QueuedRequest, now: number, pace: { slots: number; serviceMs: number }): number {
     return this.#estimator.waitMs(waiting, this.#queue, now, pace);
   }
--- a/src/sidecar/gate/QueuedRequest.ts
+++ b/src/sidecar/gate/QueuedRequest.ts
@@ -1,8 +1,8 @@
 import type { SlotRequest } from "../hop/SlotRequest.ts";
 
-/** An ask that waits for a slot. */
+/** A slot request that waits in the admission queue, or is about to join it. */
 export interface QueuedRequest {
   readonly request: SlotRequest;
-  /** When it came, by the gate's clock, ms. */
+  /** When it was received, by the gate's clock, ms. */
   readonly askedAt: number;
 }
--- a/src/sidecar/gate/SlotRequestQueue.test.ts
+++ b/src/sidecar/gate/SlotRequestQueue.test.ts
@@ -3,7 +3,7 @@
 import { makeSlotRequest } from "../../../test/fixtures/makeSlotRequest.ts";
 import { SlotRequestQueue } from "./SlotRequestQueue.ts";
 
-/** Waiting asks as (name, priority, time asked, objective left then), ms, and whether a target's call. */
+/** A queued request; times in ms, the objective counted from when the request was received. */
 type Row = readonly [
   name: string,
   priority: number,
@@ -20,7 +20,7 @@
   order: string;
 }[] = [
   {
-    name: "of those due at the same time the most urgent priority goes first, and behind it the oldest due",
+    name: "a request that is on time goes before late ones, which follow by age",
     now: 100,
     serviceMs: 50,
     rows: [
@@ -31,8 +31,8 @@
     order: "bac",
   },
   {
-    // Strict priority let bookings keep the calls out that other targets make in their work.
-    name: "a call that is due long before more urgent work goes first",
+    // With strict priority, bookings starved the nested calls of other targets.
+    name: "a nested call that is due long before requests of higher priority goes first",
     now: 100,
     serviceMs: 50,
     rows: [
@@ -43,8 +43,8 @@
     order: "callbookinglookup",
   },
   {
-    // A sign-off had its target's slot for a second, and failed for want of a call that stood behind downloads.
-    name: "a call that a target makes in the midst of a run goes before callers' own, also when it is late",
+    // A sign-off held a slot for a second, and failed because its nested call was queued behind downloads.
+    name: "nested calls go before requests of callers, even when late",
     now: 1000,
     serviceMs: 50,
     rows: [
@@ -56,7 +56,7 @@
     order: "bcad",
   },
   {
-    name: "a rank of priority is a head start of 100 ms",
+    name: "each priority level is a head start of 100 ms",
     now: 0,
     serviceMs: 50,
     rows: [
@@ -67,7 +67,7 @@
     order: "abc",
   },
   {
-    name: "of those that are late the most urgent priority goes first, if it came within half a second of the others",
+    name: "a late request of higher priority goes before late ones received less than 500 ms earlier",
     now: 400,
     serviceMs: 50,
     rows: [
@@ -78,8 +78,8 @@
     order: "bca",
   },
   {
-    // With priority alone, nothing of the lower ranks was served late for as long as an overload lasted.
-    name: "of those that are late one that has waited for more than half a second longer goes before a more urgent one",
+    // With strict priority, late requests of lower priority were never served while an overload lasted.
+    name: "a late request goes before late ones of higher priority received more than 500 ms later",
     now: 2000,
     serviceMs: 50,
     rows: [
@@ -90,7 +90,7 @@
     order: "bac",
   },
   {
-    name: "within a priority the nearest objective goes first",
+    name: "within a priority the earliest due goes first",
     now: 10,
     serviceMs: 50,
     rows: [
@@ -101,7 +101,7 @@
     order: "bca",
   },
   {
-    name: "what is late anyway goes last, oldest first",
+    name: "late requests go last, oldest first",
     now: 400,
     serviceMs: 50,
     rows: [
@@ -112,7 +112,7 @@
     order: "cba",
   },
   {
-    name: "what could only just be on time counts as on time",
+    name: "a request that can only just meet its objective is not late",
     now: 250,
     serviceMs: 50,
     rows: [
@@ -124,7 +124,7 @@
 ];
 
 for (const { name, now, serviceMs, rows, order } of cases) {
-  test(`ask queue: ${name}`, (t) => {
+  test(`slot request queue: ${name}`, (t) => {
     const queue = new SlotRequestQueue();
     for (const [attempt, priority, askedAt, objectiveMs, isCall = false] of rows) {
       const request = makeSlotRequest({ attempt, priority, objectiveMs, isCall, typicalMs: 0 });
@@ -136,7 +136,7 @@
   });
 }
 
-test("ask queue: the place of a newcomer is where it will be taken from", (t) => {
+test("slot request queue: requests ahead of a new one are those that will be served before it", (t) => {
   const queue = new SlotRequestQueue();
   queue.add({
     request: makeSlotRequest({ attempt: "a", priority: 1, objectiveMs: 500 }),
@@ -153,7 +153,7 @@
   t.is(ahead({ priority: 3, objectiveMs: 1000 }), 2);
 });
 
-test("ask queue: whether one is late goes by what its own kind takes", (t) => {
+test("slot request queue: lateness is judged by the typical time of the request, not by the mean of the target", (t) => {
   const queue = new SlotRequestQueue();
   const row = (attempt: string, typicalMs: number) =>
     ({ request: makeSlotRequest({ attempt, objectiveMs: 300, typicalMs }), askedAt: 0 }) as const;
@@ -162,7 +162,7 @@
   t.is(queue.take(150, 100)?.request.attempt, AttemptId("short"));
 });
 
-test("ask queue: one that was taken back is not given a turn", (t) => {
+test("slot request queue: a removed request is not served", (t) => {
   const queue = new SlotRequestQueue();
   const waiting = { request: makeSlotRequest(), askedAt: 0 };
   queue.add(waiting);
--- a/src/sidecar/gate/SlotRequestQueue.ts
+++ b/src/sidecar/gate/SlotRequestQueue.ts
@@ -2,10 +2,10 @@
 import { isLate } from "./isLate.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** Whether the first goes before the second, at a time (ms), when a request takes so long (ms). */
+/** Whether `a` is served before `b` at `now` (ms), given the mean service time (ms). */
 type QueueOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
 
-/** Asks waiting for a slot at one target, taken in the order that `goesBefore` gives. */
+/** Slot requests that wait for one target, served in the order of {@link goesBefore} unless another is given. */
 export class SlotRequestQueue {
   readonly #waiting: QueuedRequest[] = [];
   readonly #goesBefore: QueueOrder;
@@ -22,7 +22,7 @@
     this.#waiting.push(waiting);
   }
 
-  /** Takes one back; false when it is not here any more. */
+  /** Removes a request; false if it is no longer queued. */
   remove(waiting: QueuedRequest): boolean {
     const index = this.#waiting.indexOf(waiting);
     if (index < 0) {
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** Takes the one whose turn it is, at `now`, when a request takes `serviceMs`. */
+  /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
   take(now: number, serviceMs: number): QueuedRequest | undefined {
     let first: QueuedRequest | undefined;
     for (const waiting of this.#waiting) {
@@ -46,19 +46,19 @@
     return first;
   }
 
-  /** Those that go before `waiting`, whether it is here or would join now. */
+  /** Requests to be served before `waiting`, which may be queued already or not. */
   ahead(waiting: QueuedRequest, now: number, serviceMs: number): QueuedRequest[] {
     return this.#waiting.filter(
       (w) => w !== waiting && !this.#goesBefore(waiting, w, now, serviceMs),
     );
   }
 
-  /** How many cannot meet their objective any more. */
+  /** Number of requests that can no longer meet their latency objective. */
   countLate(now: number, serviceMs: number): number {
     return this.#waiting.filter((w) => isLate(w, now, serviceMs)).length;
   }
 
-  /** Removes and returns all that `isDue` picks. */
+  /** Removes and returns all requests that `shouldRemove` selects. */
   removeWhere(shouldRemove: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
     const removed = this.#waiting.filter(shouldRemove);
     removed.forEach((w) => this.remove(w));
--- a/src/sidecar/gate/goesBefore.ts
+++ b/src/sidecar/gate/goesBefore.ts
@@ -1,21 +1,21 @@
 import { isLate } from "./isLate.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** Head start of each rank of priority over the next, ms: strict priority would leave the lower ranks nothing under load. */
+/** Head start of each priority level over the next lower one, ms. Under load strict priority starves lower levels. */
 const PRIORITY_STEP_MS = 100;
 
-/** The same among those that are late anyway. */
+/** The same among late requests. */
 const LATE_PRIORITY_STEP_MS = 500;
 
 /**
- * Whether `a` is to have the next free slot before `b`. Calls that targets make in the midst of their runs go first: each
- * holds a slot elsewhere, and where it is refused the work done there is lost, and its caller told of a failure rather
- * than that nothing has run. Then, of asks that can still meet their objective, the one that is due first, with a head
- * start for priority: earliest due date first meets the most objectives. Under overload it would spend the slots on requests that
- * are late anyway, so those go last, by age, with a longer head start for priority.
+ * Whether `a` gets the next free slot before `b`. Nested calls go first: the run that makes one holds a slot at another
+ * target, and if the call is refused, that run's work is lost and its caller gets a failure instead of a reply that
+ * nothing has run. Next come requests that can still meet their latency objective, earliest due first, with a head start
+ * for priority: earliest due date first meets the most objectives. Under overload that order alone would spend the slots
+ * on requests that are already late, so late requests go last, by age, with a longer head start for priority.
  *
- * @param now the gate's clock, ms
- * @param serviceMs how long a request takes here
+ * @param now current time by the gate's clock, ms
+ * @param serviceMs mean service time at the target, ms
  */
 export function goesBefore(
   a: QueuedRequest,
--- a/src/sidecar/gate/isLate.ts
+++ b/src/sidecar/gate/isLate.ts
@@ -1,10 +1,10 @@
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
 /**
- * Whether an ask in line cannot meet its objective any more, even if it starts now.
+ * Whether a queued slot request can no longer meet its latency objective, even if its run started now.
  *
- * @param now the gate's clock, ms
- * @param serviceMs how long a request takes here, where its own usual time is not known
+ * @param now current time by the gate's clock, ms
+ * @param serviceMs mean service time at the target, ms; used where the typical time of the request is unknown
  */
 export function isLate(
   { request, askedAt }: QueuedRequest,
