--- a/src/sidecar/gate/WaitEstimator.test.ts
+++ b/src/sidecar/gate/WaitEstimator.test.ts
@@ -3,10 +3,10 @@
 import { SlotRequestQueue } from "./SlotRequestQueue.ts";
 import { WaitEstimator } from "./WaitEstimator.ts";
 
-/** Five slots, half a second a request: a turn every 100 ms. */
+/** Five slots and 500 ms of service time: a grant every 100 ms. */
 const PACE = { slots: 5, serviceMs: 500 };
 
-/** Objective of those that come in time, ms, and time that they take. */
+/** Latency objective of requests that are on time, and typical time of all, ms. */
 const OBJECTIVE_MS = 1500;
 const WORK_MS = 500;
 
@@ -22,89 +22,93 @@
 
 const cases: readonly {
   name: string;
-  line: readonly ReturnType<typeof onTime>[];
-  /** Grants before: on time or late. */
+  queued: readonly ReturnType<typeof onTime>[];
+  /** For each earlier grant, whether its request was late. */
   lateGrants: readonly boolean[];
-  who: ReturnType<typeof onTime>;
-  waitMs: [least: number, most: number];
+  waiting: ReturnType<typeof onTime>;
+  waitMs: [min: number, max: number];
 }[] = [
   {
-    name: "alone in line, the next turn",
-    line: [],
+    name: "a request that is alone in the queue waits for the next grant",
+    queued: [],
     lateGrants: [],
-    who: onTime("a"),
+    waiting: onTime("a"),
     waitMs: [100, 100],
   },
   {
-    name: "half of those before it take another gate's grant",
-    line: Array.from({ length: 6 }, (_, n) => onTime(`a${n}`)),
+    name: "half of the requests ahead use the grant of another gate",
+    queued: Array.from({ length: 6 }, (_, n) => onTime(`a${n}`)),
     lateGrants: [],
-    who: onTime("b"),
+    waiting: onTime("b"),
     waitMs: [400, 400],
   },
   {
-    name: "one in time does not wait for the late ones",
-    line: Array.from({ length: 6 }, (_, n) => late(`a${n}`)),
+    name: "a request on time does not wait for late ones",
+    queued: Array.from({ length: 6 }, (_, n) => late(`a${n}`)),
     lateGrants: [],
-    who: onTime("b"),
+    waiting: onTime("b"),
     waitMs: [100, 100],
   },
   {
-    name: "a late one is served soon where late ones have been",
-    line: [late("a")],
+    name: "a late request is served soon where other late ones were",
+    queued: [late("a")],
     lateGrants: Array.from({ length: 20 }, () => true),
-    who: late("b"),
+    waiting: late("b"),
     waitMs: [150, 150],
   },
   {
-    // Story: more comes than can be served. Whoever is late waits behind everybody who is not, and
-    // its turn never came; it was held until its time was up, and refused only then.
-    name: "a late one waits for long where all slots go to others",
-    line: [late("a")],
+    // Under overload a late request is queued behind all that are on time. With its wait underestimated, it was held
+    // until its deadline and only then refused.
+    name: "a late request waits long where all slots go to requests on time",
+    queued: [late("a")],
     lateGrants: Array.from({ length: 20 }, () => false),
-    who: late("b"),
+    waiting: late("b"),
     waitMs: [3000, 4000],
   },
   {
-    name: "one that will be late by its turn stands with the late ones",
-    line: Array.from({ length: 30 }, (_, n) => onTime(`a${n}`)),
+    name: "a request that becomes late before it is served waits as long as late ones",
+    queued: Array.from({ length: 30 }, (_, n) => onTime(`a${n}`)),
     lateGrants: Array.from({ length: 20 }, () => false),
-    who: onTime("b"),
+    waiting: onTime("b"),
     waitMs: [3000, 5000],
   },
 ];
 
-const callsFirst: readonly { name: string; callGrants: number; isCall: boolean; waitMs: number }[] =
-  [
-    {
-      name: "where no calls come, an own one has the next turn",
-      callGrants: 0,
-      isCall: false,
-      waitMs: 100,
-    },
-    {
-      name: "where half of the slots go to calls, every other turn",
-      callGrants: 10,
-      isCall: false,
-      waitMs: 191,
-    },
-    // Story: calls take nearly all that a target can do. Downloads stood in line until their time was up.
-    {
-      name: "where nearly all go to calls, hardly any",
-      callGrants: 18,
-      isCall: false,
-      waitMs: 700,
-    },
-    {
-      name: "a call does not wait for calls that come after it",
-      callGrants: 18,
-      isCall: true,
-      waitMs: 100,
-    },
-  ];
+const nestedCallCases: readonly {
+  name: string;
+  callGrants: number;
+  isCall: boolean;
+  waitMs: number;
+}[] = [
+  {
+    name: "without nested calls a caller's request waits for the next grant",
+    callGrants: 0,
+    isCall: false,
+    waitMs: 100,
+  },
+  {
+    name: "where half of the slots go to nested calls, a caller's request waits for two grants",
+    callGrants: 10,
+    isCall: false,
+    waitMs: 191,
+  },
+  // Where nested calls used nearly all of a target's capacity, downloads were queued until their deadlines.
+  {
+    name: "where nearly all slots go to nested calls, a caller's request waits long",
+    callGrants: 18,
+    isCall: false,
+    waitMs: 700,
+  },
+  {
+    name: "a nested call does not wait for nested calls received later",
+    callGrants: 18,
+    isCall: true,
+    waitMs: 100,
+  },
+];
 
-for (const { name, callGrants, isCall, waitMs } of callsFirst) {
-  test(`line forecast: ${name}`, (t) => {
+for (const { name, callGrants, isCall, waitMs } of nestedCallCases) {
+  test(`wait estimator: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     for (let n = 0; n < 20; n++) {
       estimator.recordGrant({ isCall: n < callGrants, isLate: false });
@@ -115,17 +119,17 @@
   });
 }
 
-for (const { name, line, lateGrants, who, waitMs } of cases) {
-  test(`line forecast: ${name}`, (t) => {
+for (const { name, queued, lateGrants, waiting, waitMs } of cases) {
+  test(`wait estimator: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     lateGrants.forEach((wasLate) => {
       estimator.recordGrant({ isCall: false, isLate: wasLate });
     });
     const queue = new SlotRequestQueue();
-    line.forEach((waiting) => {
-      queue.add(waiting);
+    queued.forEach((ahead) => {
+      queue.add(ahead);
     });
-    const ms = estimator.waitMs(who, queue, 0, PACE);
+    const ms = estimator.waitMs(waiting, queue, 0, PACE);
     t.true(ms >= waitMs[0] && ms <= waitMs[1], `${ms} ms`);
   });
 }
--- a/src/sidecar/gate/WaitEstimator.ts
+++ b/src/sidecar/gate/WaitEstimator.ts
@@ -2,37 +2,36 @@
 import { isLate } from "./isLate.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** Share of the waiting asks that come to run here: the others take another gate's grant. */
+/** Share of the queued requests that will be served here; the others will use a grant of another gate. */
 const SERVED_HERE_SHARE = 0.5;
 
-/** Grants from which it is told how often a late one gets its turn: at five slots and half a second of work, the last two seconds'. */
+/** Number of recent grants that shares are computed from: those of the last 2 s at five slots and 0.5 s of work. */
 const GRANT_WINDOW = 20;
 
-/** How fast a target works its line off. */
+/** How fast a target serves its queue. */
 interface Pace {
   readonly slots: number;
-  /** How long a slot is in use for one request, ms. */
+  /** Mean time for which a request occupies a slot, ms. */
   readonly serviceMs: number;
 }
 
-/** A grant, as far as it tells what those that are behind in line may expect. */
+/** The kind of request that a slot was granted to. */
 interface GrantRecord {
-  /** It went to a call that a target makes. */
+  /** It was a nested call. */
   readonly isCall: boolean;
-  /** It went to one that is late anyway. */
+  /** It could no longer meet its latency objective. */
   readonly isLate: boolean;
 }
 
 /**
- * Tells how long an ask will stand in a gate's line. Calls go first, and asks that can still meet their
- * objective go before those that are late, so a turn further back depends on how many
- * slots the others leave: none while more come than can be served, and all once a burst
- * is over. That is told from the shares of each among those who were served last.
+ * Estimates how long a slot request will wait in a gate's queue. Nested calls are served first, and requests that can
+ * still meet their latency objective before late ones, so the wait of the rest depends on how many slots those leave:
+ * none under overload, and all once a burst is over. That share is estimated from the kinds of the recent grants.
  */
 export class WaitEstimator {
   readonly #recentGrants: GrantRecord[] = [];
 
-  /** Notes that an ask was given a slot. */
+  /** Records that a slot was granted. */
   recordGrant(granted: GrantRecord): void {
     this.#recentGrants.push(granted);
     if (this.#recentGrants.length > GRANT_WINDOW) {
@@ -40,7 +39,7 @@
     }
   }
 
-  /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
+  /** Estimated remaining wait of `waiting`, queued or about to be, ms. */
   waitMs(
     waiting: QueuedRequest,
     queue: SlotRequestQueue,
@@ -50,7 +49,7 @@
     const msPerGrant = serviceMs / Math.max(1, slots);
     const ahead = queue.ahead(waiting, now, serviceMs);
     const onTimeWaitMs = this.#grantsUntilServed(waiting, ahead) * msPerGrant;
-    // One that will be late by its turn comes to stand with the late ones.
+    // A request that becomes late before it is served is ordered among the late ones.
     if (!isLate(waiting, now + onTimeWaitMs, serviceMs)) {
       return onTimeWaitMs;
     }
@@ -60,13 +59,13 @@
     return Math.max(onTimeWaitMs, (onTime * SERVED_HERE_SHARE + lateGrants) * msPerGrant);
   }
 
-  /** Turns until that of one which is not late, itself included. */
+  /** Grants until a request that is not late is served, its own included. */
   #grantsUntilServed({ request }: QueuedRequest, ahead: readonly QueuedRequest[]): number {
     const grants = ahead.length * SERVED_HERE_SHARE + 1;
     if (request.isCall) {
       return grants;
     }
-    // Calls that have not come yet will go before it, too.
+    // Nested calls that arrive later will be served before it, too.
     const callersAhead = ahead.filter((w) => !w.request.isCall).length;
     return Math.max(
       grants,
@@ -74,7 +73,7 @@
     );
   }
 
-  /** Share of the grants that late asks get; all, until the others are seen to take them. */
+  /** Share of the grants that go to late requests; taken to be 1 until grants to other requests are recorded. */
   get #lateShare(): number {
     return this.#shareOf((g) => g.isLate);
   }
