--- a/src/sidecar/gate/RunTable.ts
+++ b/src/sidecar/gate/RunTable.ts
@@ -2,39 +2,38 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 
-/** How a run stands that someone asks for again. */
+/** State of a run, as reported to a sender that reattaches to it. */
 export type RunState =
   | { readonly kind: "running"; readonly result: Promise<ForwardResult> }
   | { readonly kind: "ended"; readonly result: ForwardResult }
-  /** It ended, and its answer is not kept (any more). */
+  /** It ended, and its result is not retained, or no longer. */
   | { readonly kind: "forgotten" }
   | { readonly kind: "unknown" };
 
-/** Answers kept for those whose connection was lost, all together, bytes: a tenth of the process's memory. */
+/** Total size of the responses retained for reattaching senders, bytes: a tenth of the process's memory. */
 const MAX_RETAINED_BYTES = 32 << 20;
 
 /**
- * How long a run is remembered after its end and its request's deadline, ms: so that a request delayed in a cut is
- * known when it arrives, also one from a machine that was suspended.
+ * How long a run is retained after its end or its request's deadline, whichever is later, ms. A request that was delayed
+ * by a network partition or by a suspended VM is then still recognized when it arrives.
  */
 const RETENTION_MS = 60_000;
 
-/** How often old runs are dropped, ms. */
+/** Least interval between removals of old runs, ms. */
 const SWEEP_MS = 10_000;
 
 interface Entry {
-  /** Set while it runs. */
+  /** Set while the run is in progress. */
   running: Promise<ForwardResult> | undefined;
   result: ForwardResult | undefined;
-  /** Its end, or its request's deadline if that is later; by the clock, ms. */
+  /** Later of the end of the run and the deadline of its request, by the clock, ms; infinite while it runs. */
   closedAt: number;
 }
 
 /**
- * Every run at the target beside this sidecar, and its answer for a
- * while. Whoever asked for it may ask again over a new connection and gets the same
- * answer: a connection lost between two sidecars then leaves no request in doubt, and
- * none runs twice.
+ * Records every run at the local targets, and retains its result for a while. A sender that lost its connection can
+ * reattach over a new one and gets the same result, so that a broken connection between two sidecars neither leaves the
+ * outcome of a request unknown nor makes it run twice.
  */
 export class RunTable {
   readonly #clock: Clock;
@@ -47,9 +46,9 @@
   }
 
   /**
-   * Notes a run from its start to its end.
+   * Tracks a run from its start to its end.
    *
-   * @param deadlineAt whoever sent it may ask for its result until then, by the clock, ms
+   * @param deadlineAt until when the sender may reattach, by the clock, ms
    */
   track(grant: GrantId, run: Promise<ForwardResult>, deadlineAt: number): void {
     this.#sweep();
@@ -62,7 +61,7 @@
     });
   }
 
-  /** How the run stands that took `grant`. */
+  /** State of the run that used `grant`. */
   state(grant: GrantId): RunState {
     const entry = this.#entries.get(grant);
     if (!entry) {
@@ -74,7 +73,7 @@
     return entry.result ? { kind: "ended", result: entry.result } : { kind: "forgotten" };
   }
 
-  /** Runs remembered. */
+  /** Number of runs retained. */
   get size(): number {
     return this.#entries.size;
   }
@@ -82,7 +81,7 @@
   #retainResult(entry: Entry, result: ForwardResult): void {
     const bytes = replayableBytes(result);
     if (bytes === undefined) {
-      return; // A streamed answer went out once and cannot be given again.
+      return; // A streamed response has been consumed and cannot be sent again.
     }
     entry.result = result;
     this.#retainedBytes += bytes;
@@ -116,7 +115,7 @@
   }
 }
 
-/** Bytes of an answer that can be given again; undefined for one that cannot. */
+/** Size of a response that can be sent again, bytes; undefined for a streamed one, which cannot. */
 function replayableBytes(result: ForwardResult): number | undefined {
   if (!("body" in result)) {
     return 0;
