--- a/src/sidecar/gate/GrantIds.ts
+++ b/src/sidecar/gate/GrantIds.ts
@@ -1,14 +1,14 @@
 import { GrantId } from "../../common/ids/GrantId.ts";
 
-/** Ends the part of an id that names the process. */
+/** Separates the boot id of the process from the sequence number. */
 const SEPARATOR = ".";
 
-/** Ids for the grants of this process, which no other process and no earlier life of it has given. */
+/** Generates grant ids that are unique across processes and across incarnations of this process. */
 export class GrantIds {
   readonly #prefix: string;
   #last = 0;
 
-  /** @param boot unique to this life of the process */
+  /** @param boot unique to this incarnation of the process */
   constructor(boot: string) {
     this.#prefix = `${boot}${SEPARATOR}`;
   }
@@ -18,7 +18,7 @@
     return GrantId(`${this.#prefix}${this.#last}`);
   }
 
-  /** Whether this life of the process gave `id`. */
+  /** Whether this incarnation of the process issued `id`. */
   isOwn(id: GrantId): boolean {
     return id.startsWith(this.#prefix);
   }
--- a/src/sidecar/gate/runRoomMs.ts
+++ b/src/sidecar/gate/runRoomMs.ts
@@ -1,14 +1,14 @@
-/** How many times its usual time a run may take: a few in a thousand good ones take longer. */
+/** Multiple of its typical time that a run is allowed; a few in a thousand healthy runs take longer. */
 const ALLOWANCE_FACTOR = 5.5;
 
-/** The same for a request that can be sent elsewhere when it is cut. */
+/** The same for a request that can be retried at another target if its run is cut short. */
 const EXPENDABLE_ALLOWANCE_FACTOR = 3;
 
 /**
- * Time that a run should be given where what comes after it would cut it, ms.
+ * Time to reserve for a run ahead of an event that would cut it short, ms.
  *
- * @param typicalMs what runs of its kind usually take
- * @param isExpendable another try is left if this one is cut
+ * @param typicalMs typical time of runs of its kind, ms
+ * @param isExpendable whether another attempt is possible if this one is cut short
  */
 export function runRoomMs(typicalMs: number, isExpendable: boolean): number {
   return typicalMs * (isExpendable ? EXPENDABLE_ALLOWANCE_FACTOR : ALLOWANCE_FACTOR);
--- a/src/sidecar/gate/unknownOutcome.ts
+++ b/src/sidecar/gate/unknownOutcome.ts
@@ -3,7 +3,7 @@
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
 
-/** The result of a run at `target` that began, and whose end is not known beside it (any more). */
+/** The result of a run that began at `target` and whose outcome its sidecar does not know, or no longer knows. */
 export function unknownOutcome(target: TargetId): ForwardResult {
   return {
     verdict: {
