--- a/src/sidecar/gate/SlotTable.ts
+++ b/src/sidecar/gate/SlotTable.ts
@@ -4,21 +4,21 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { SlotRequest } from "../hop/SlotRequest.ts";
 
-/** What holds a slot: a grant that is to be taken, or a run. */
+/** The holder of a slot: an unused grant, or a run. */
 interface SlotHolder {
   readonly request: SlotRequest;
   readonly state: "granted" | "running";
-  /** When it was granted, or its run began, by the clock, ms. */
+  /** When it was granted or when its run began, by the clock, ms. */
   readonly since: number;
-  /** Ends a grant that is not taken; tells when a run is overdue. */
+  /** Expires an unused grant; reports an overdue run. */
   readonly timer: Timer;
-  /** It is there to tell whether a target under suspicion is well. */
+  /** It is a probe: it shows whether a suspect target is healthy. */
   readonly isProbe: boolean;
-  /** It was told that the run is overdue. */
+  /** The run was reported as overdue, and this counted. */
   isOverdue: boolean;
 }
 
-/** The slots of a target that are granted or in use, and since when. */
+/** Tracks the slots of a target that are granted or in use. */
 export class SlotTable {
   readonly #clock: Clock;
   readonly #holders = new Map<GrantId, SlotHolder>();
@@ -27,12 +27,12 @@
     this.#clock = clock;
   }
 
-  /** Slots granted or in use. */
+  /** Number of slots granted or in use. */
   get size(): number {
     return this.#holders.size;
   }
 
-  /** Requests granted or under way that will tell whether the target is well. */
+  /** Number of probes granted or in progress. */
   get probes(): number {
     return [...this.#holders.values()].filter((h) => h.isProbe).length;
   }
@@ -42,12 +42,12 @@
     return [...this.#holders.values()].some((h) => h.request.attempt === attempt);
   }
 
-  /** Whether a slot is granted that has not been taken yet. */
+  /** Whether a grant is neither used nor expired. */
   isPending(grant: GrantId): boolean {
     return this.#holders.get(grant)?.state === "granted";
   }
 
-  /** Grants a slot; `onExpired` is called if it is not taken within `expiresMs`. */
+  /** Grants a slot; `onExpired` is called if the grant is not used within `ttlMs`. */
   grant(
     grant: GrantId,
     request: SlotRequest,
@@ -67,7 +67,7 @@
     });
   }
 
-  /** Keeps a grant that was not taken for as long as its request has; false when there is none. */
+  /** Extends an unused grant until the deadline of its request; false if there is none. */
   hold(grant: GrantId, onExpired: () => void): boolean {
     const holder = this.#holders.get(grant);
     if (holder?.state !== "granted") {
@@ -79,7 +79,7 @@
     return true;
   }
 
-  /** Takes back a grant that was not taken; true when there was one. */
+  /** Revokes an unused grant; false if there is none. */
   revoke(grant: GrantId): boolean {
     const holder = this.#holders.get(grant);
     if (holder?.state !== "granted") {
@@ -90,9 +90,10 @@
   }
 
   /**
-   * Begins the run that a slot was granted for; undefined when there is no such grant.
+   * Uses a grant and begins its run; undefined if there is no such unused grant.
    *
-   * @param overdueMs how long the run may take before `onOverdue` is told; what that returns is whether it counts
+   * @param overdueMs time after which the run is overdue, ms
+   * @param onOverdue called when the run is overdue; returns whether that counts against the target
    */
   take(
     grant: GrantId,
@@ -121,7 +122,7 @@
     return request;
   }
 
-  /** Ends a run; undefined when none is under way. */
+  /** Ends a run; undefined if none is in progress. */
   end(grant: GrantId): { request: SlotRequest; ms: number; wasOverdue: boolean } | undefined {
     const holder = this.#holders.get(grant);
     if (holder?.state !== "running") {
