--- a/src/sidecar/gate/Gate.test.ts
+++ b/src/sidecar/gate/Gate.test.ts
@@ -14,21 +14,23 @@
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** How long a grant is good for, ms; as the gate has it. */
-const GRANT_MS = 250;
+/** How long an unused grant is valid, ms; as in the gate. */
+const GRANT_TTL_MS = 250;
 
-/** A gate to a target with `slots`, whose replies are noted by attempt. */
+/** A gate to a target with `slots`; replies are recorded by attempt. */
 function rig(slots = 2, detector: HealthDetector = AlwaysHealthyDetector, clock = new FakeClock()) {
-  const target = { slots, takesWork: true, here: true };
+  const target = { slots, takesWork: true, isPresent: true };
   const gate = new Gate({
-    target: () => (target.here ? target : undefined),
+    target: () => (target.isPresent ? target : undefined),
     detector,
     clock,
     grants: new GrantIds("b"),
   });
   const replies = new Map<string, SlotReply>();
-  const ask = (attempt: string, over: Parameters<typeof makeSlotRequest>[0] = {}) =>
-    gate.requestSlot(makeSlotRequest({ attempt, ...over }), (reply) => replies.set(attempt, reply));
+  const requestSlot = (attempt: string, overrides: Parameters<typeof makeSlotRequest>[0] = {}) =>
+    gate.requestSlot(makeSlotRequest({ attempt, ...overrides }), (reply) =>
+      replies.set(attempt, reply),
+    );
   const grantOf = (attempt: string): GrantId => {
     const reply = replies.get(attempt);
     return reply?.kind === "granted" ? reply.grant : GrantId("none");
@@ -39,210 +41,234 @@
       gate.end(grantOf(attempt), AttemptOutcome.Ok);
     });
   };
-  const said = (attempt: string): string => {
+  const replyTo = (attempt: string): string => {
     const reply = replies.get(attempt);
     return reply?.kind === "refused" ? reply.reason : (reply?.kind ?? "waits");
   };
-  return { clock, target, gate, replies, ask, grantOf, run, said };
+  return { clock, target, gate, replies, requestSlot, grantOf, run, replyTo };
 }
 
-test("gate: no more requests are at the target than it has slots", async (t) => {
-  const { clock, gate, ask, run, said } = rig(2);
+test("gate: never grants more slots than the target has", async (t) => {
+  const { clock, gate, requestSlot, run, replyTo } = rig(2);
   for (const attempt of ["a", "b", "c"]) {
-    ask(attempt);
+    requestSlot(attempt);
   }
-  t.deepEqual(["a", "b", "c"].map(said), ["granted", "granted", "waits"]);
+  t.deepEqual(["a", "b", "c"].map(replyTo), ["granted", "granted", "waits"]);
   run("a", 100);
   run("b", 200);
   await clock.advance(100);
-  t.is(said("c"), "granted");
+  t.is(replyTo("c"), "granted");
   t.is(gate.load.busy, 2);
 });
 
-test("gate: a grant that nobody takes goes to the next after a while", async (t) => {
-  // Story: a sidecar is granted a slot and is killed. The slot must not stand empty.
-  const { clock, gate, ask, said, grantOf } = rig(1);
-  ask("a");
-  ask("b");
-  await clock.advance(GRANT_MS);
-  t.is(said("b"), "granted");
+test("gate: an unused grant expires and its slot goes to the next request", async (t) => {
+  // The sidecar that was granted the slot is killed before it uses it. The slot must not stay idle.
+  const { clock, gate, requestSlot, replyTo, grantOf } = rig(1);
+  requestSlot("a");
+  requestSlot("b");
+  await clock.advance(GRANT_TTL_MS);
+  t.is(replyTo("b"), "granted");
   t.is(gate.take(grantOf("a")), undefined, "the first grant has expired");
   t.truthy(gate.take(grantOf("b")));
 });
 
-test("gate: an ask that is withdrawn frees its place or its slot", (t) => {
-  const { gate, ask, said } = rig(1);
-  const first = ask("a");
-  const second = ask("b");
-  ask("c");
+test("gate: withdrawing a request frees its place in the queue or its slot", (t) => {
+  const { gate, requestSlot, replyTo } = rig(1);
+  const first = requestSlot("a");
+  const second = requestSlot("b");
+  requestSlot("c");
   second.withdraw();
   first.withdraw();
-  t.deepEqual(["b", "c"].map(said), ["waits", "granted"]);
+  t.deepEqual(["b", "c"].map(replyTo), ["waits", "granted"]);
   t.is(gate.load.queued, 0);
 });
 
-test("gate: what cannot be served in time is refused at once, and told when to come back", async (t) => {
-  // Story: every slot is taken by requests of 100 ms, and a caller has 60 ms left.
-  const { clock, ask, run, said, replies } = rig(1);
+test("gate: refuses a request that cannot meet its deadline at once, with a time to retry after", async (t) => {
+  // All slots are in use by runs of 100 ms, and the request has 60 ms left.
+  const { clock, requestSlot, run, replyTo, replies } = rig(1);
   for (let i = 0; i < 40; i++) {
-    ask(`warm-${String(i)}`);
+    requestSlot(`warm-${String(i)}`);
     run(`warm-${String(i)}`, 100);
     await clock.advance(100);
   }
-  ask("a");
+  requestSlot("a");
   run("a", 100);
-  ask("late", { remainingMs: 60 });
-  ask("patient", { remainingMs: 1000 });
-  t.deepEqual(["late", "patient"].map(said), ["full", "waits"]);
+  requestSlot("late", { remainingMs: 60 });
+  requestSlot("patient", { remainingMs: 1000 });
+  t.deepEqual(["late", "patient"].map(replyTo), ["full", "waits"]);
   const reply = replies.get("late");
   t.true(reply?.kind === "refused" && reply.retryAfterMs > 50 && reply.retryAfterMs < 200);
 });
 
-test("gate: the queue is bounded", (t) => {
-  const { ask, said } = rig(1);
-  ask("running");
+test("gate: the queue length is bounded by the number of slots", (t) => {
+  const { requestSlot, replyTo } = rig(1);
+  requestSlot("running");
   for (let i = 0; i < 20; i++) {
-    ask(`q-${String(i)}`, { remainingMs: 60_000 });
+    requestSlot(`q-${String(i)}`, { remainingMs: 60_000 });
   }
-  const waiting = Array.from({ length: 20 }, (_, i) => said(`q-${String(i)}`));
+  const waiting = Array.from({ length: 20 }, (_, i) => replyTo(`q-${String(i)}`));
   t.is(waiting.filter((s) => s === "waits").length, 8);
   t.is(waiting.filter((s) => s === "full").length, 12);
 });
 
-/** How much time is left when an ask comes, and what its kind usually takes, ms. */
-const lastAsks: readonly {
+/** Slot requests to a gate whose sidecar exits in `untilExitMs`; times in ms. */
+const shutdownCases: readonly {
   what: string;
-  leftMs: number;
+  untilExitMs: number;
   typicalMs: number;
   isExpendable: boolean;
   remainingMs?: number;
-  said: string;
+  expected: string;
 }[] = [
-  { what: "fits", leftMs: 3000, typicalMs: 500, isExpendable: false, said: "granted" },
-  { what: "may not be over", leftMs: 2000, typicalMs: 500, isExpendable: false, said: "leaving" },
-  { what: "may be cut", leftMs: 2000, typicalMs: 500, isExpendable: true, said: "granted" },
-  { what: "will be cut", leftMs: 1000, typicalMs: 500, isExpendable: true, said: "leaving" },
   {
-    what: "is over by its deadline",
-    leftMs: 1000,
+    what: "fits before the exit",
+    untilExitMs: 3000,
+    typicalMs: 500,
+    isExpendable: false,
+    expected: "granted",
+  },
+  {
+    what: "may not end before the exit",
+    untilExitMs: 2000,
+    typicalMs: 500,
+    isExpendable: false,
+    expected: "leaving",
+  },
+  {
+    what: "is expendable and may be cut short",
+    untilExitMs: 2000,
+    typicalMs: 500,
+    isExpendable: true,
+    expected: "granted",
+  },
+  {
+    what: "is expendable and will be cut short",
+    untilExitMs: 1000,
+    typicalMs: 500,
+    isExpendable: true,
+    expected: "leaving",
+  },
+  {
+    what: "ends by its deadline before the exit",
+    untilExitMs: 1000,
     typicalMs: 500,
     isExpendable: false,
     remainingMs: 900,
-    said: "granted",
+    expected: "granted",
   },
 ];
 
-for (const { what, leftMs, said: expected, ...ask } of lastAsks) {
-  test(`gate: while its sidecar is being stopped, work that ${what} is ${expected}`, async (t) => {
-    const { clock, gate, ask: put, said } = rig(1);
+for (const { what, untilExitMs, expected, ...overrides } of shutdownCases) {
+  test(`gate: while the sidecar is being stopped, a run that ${what} gets the reply "${expected}"`, async (t) => {
+    const { clock, gate, requestSlot, replyTo } = rig(1);
     gate.closeBy(4000);
-    await clock.advance(4000 - leftMs);
-    put("a", { remainingMs: 10_000, ...ask });
-    t.is(said("a"), expected);
-    t.is(gate.load.endsInMs, leftMs);
+    await clock.advance(4000 - untilExitMs);
+    requestSlot("a", { remainingMs: 10_000, ...overrides });
+    t.is(replyTo("a"), expected);
+    t.is(gate.load.endsInMs, untilExitMs);
   });
 }
 
-test("gate: what waits goes elsewhere as soon as it cannot be over before its sidecar ends", async (t) => {
-  const { clock, gate, ask, run, said } = rig(1);
+test("gate: refuses queued requests as soon as they cannot end before the sidecar exits", async (t) => {
+  const { clock, gate, requestSlot, run, replyTo } = rig(1);
   gate.closeBy(4000);
-  ask("a", { remainingMs: 10_000, typicalMs: 400 });
+  requestSlot("a", { remainingMs: 10_000, typicalMs: 400 });
   run("a", 3900);
-  ask("b", { remainingMs: 10_000, typicalMs: 400, isExpendable: false });
-  t.is(said("b"), "waits");
+  requestSlot("b", { remainingMs: 10_000, typicalMs: 400, isExpendable: false });
+  t.is(replyTo("b"), "waits");
   await clock.advance(1900);
-  t.is(said("b"), "leaving");
+  t.is(replyTo("b"), "leaving");
 });
 
-test("gate: a target that leaves gives no more slots, and what waits is told at once", (t) => {
-  const { target, gate, ask, run, said } = rig(1);
-  ask("a");
+test("gate: refuses queued and new requests at once when the target is leaving", (t) => {
+  const { target, gate, requestSlot, run, replyTo } = rig(1);
+  requestSlot("a");
   run("a", 500);
-  ask("b");
+  requestSlot("b");
   target.takesWork = false;
   gate.targetChanged();
-  ask("c");
-  t.deepEqual(["b", "c"].map(said), ["leaving", "leaving"]);
-  t.true(gate.isBusy, "what runs there is left to end");
+  requestSlot("c");
+  t.deepEqual(["b", "c"].map(replyTo), ["leaving", "leaving"]);
+  t.true(gate.isBusy, "runs in progress continue");
 });
 
-test("gate: once closed it grants nothing, and says so to what waits", (t) => {
-  const { gate, ask, said } = rig(1);
-  ask("a");
-  ask("b");
+test("gate: refuses queued and new requests once closed", (t) => {
+  const { gate, requestSlot, replyTo } = rig(1);
+  requestSlot("a");
+  requestSlot("b");
   gate.close();
-  ask("c");
-  t.deepEqual(["b", "c"].map(said), ["leaving", "leaving"]);
+  requestSlot("c");
+  t.deepEqual(["b", "c"].map(replyTo), ["leaving", "leaving"]);
 });
 
-test("gate: once its target has failed a request, what waits and has no other try goes elsewhere at once", (t) => {
-  // Story: two bookings run at a target and a third waits. One of the two fails. The third would
-  // be given the slot next, or wait for a target that it may not have.
+test("gate: refuses queued requests that cannot be retried once the target is suspect", (t) => {
+  // Two bookings run at a target and a third is queued. One run fails and the target becomes suspect. The third must
+  // neither get the free slot nor go on waiting for a target that does not admit it.
   const detector = {
     ...AlwaysHealthyDetector,
     isSuspect: false,
     admits: () => !detector.isSuspect,
   };
   detector.note = () => (detector.isSuspect = true);
-  const { gate, ask, said, grantOf } = rig(2, detector);
-  ask("a");
-  ask("b");
-  ask("c", { isExpendable: false });
+  const { gate, requestSlot, replyTo, grantOf } = rig(2, detector);
+  requestSlot("a");
+  requestSlot("b");
+  requestSlot("c", { isExpendable: false });
   gate.take(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Failed);
-  t.is(said("c"), "suspect");
+  t.is(replyTo("c"), "suspect");
 });
 
-test("gate: a request that took a target for the least bad leaves its line once it is known to be worse", async (t) => {
-  // Story: a target has failed one request, and sound ones have no room: a booking that accepts a chance of failure of a
-  // half joins its line. It fails the next one too, and each slot that it frees so would go to those in line: 39 and 55
-  // bookings in a second were failed in a row by two targets of which that was known.
+test("gate: refuses a queued request once the risk of the target exceeds what it accepts", async (t) => {
+  // While the healthy targets lack capacity, a booking that accepts a failure probability of one half is queued at a
+  // target that has failed one request. The target also fails the next one, and every slot freed by a failure went to
+  // another queued request: two targets known to be failing failed 39 and 55 bookings in a row within a second.
   const rule = Service.parse({ name: "svc" }).detection;
   const clock = new FakeClock();
   const detector = new GrayFailureDetector({ rule: () => rule, clock, log });
-  const { gate, ask, said, grantOf } = rig(1, detector, clock);
+  const { gate, requestSlot, replyTo, grantOf } = rig(1, detector, clock);
   await clock.advance(500);
   detector.note(AttemptOutcome.Failed, 1, 0);
-  ask("a", { acceptsRisk: 0.8, isExpendable: false });
-  ask("b", { acceptsRisk: 0.8, isExpendable: false });
-  ask("any", { acceptsRisk: 1, isExpendable: false });
-  t.deepEqual(["a", "b", "any"].map(said), ["granted", "waits", "waits"]);
+  requestSlot("a", { acceptsRisk: 0.8, isExpendable: false });
+  requestSlot("b", { acceptsRisk: 0.8, isExpendable: false });
+  requestSlot("any", { acceptsRisk: 1, isExpendable: false });
+  t.deepEqual(["a", "b", "any"].map(replyTo), ["granted", "waits", "waits"]);
   gate.take(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Failed);
-  t.is(said("b"), "suspect");
-  t.is(said("any"), "granted");
+  t.is(replyTo("b"), "suspect");
+  t.is(replyTo("any"), "granted");
 });
 
-test("gate: a target that is gone has no slots", (t) => {
-  const { target, ask, said } = rig(1);
-  target.here = false;
-  ask("a");
-  t.is(said("a"), "no-target");
+test("gate: refuses requests for a target that is gone", (t) => {
+  const { target, requestSlot, replyTo } = rig(1);
+  target.isPresent = false;
+  requestSlot("a");
+  t.is(replyTo("a"), "no-target");
 });
 
-test("gate: the same attempt is not granted twice at a time", (t) => {
-  const { ask, said } = rig(2);
-  ask("a");
-  ask("a");
-  t.is(said("a"), "duplicate");
+test("gate: refuses a second slot for an attempt that has one", (t) => {
+  const { requestSlot, replyTo } = rig(2);
+  requestSlot("a");
+  requestSlot("a");
+  t.is(replyTo("a"), "duplicate");
 });
 
-test("gate: an ask that waited past its deadline is passed over", async (t) => {
-  const { clock, ask, run, said } = rig(1);
-  ask("a");
+test("gate: does not grant a slot to a queued request whose deadline has passed", async (t) => {
+  const { clock, requestSlot, run, replyTo } = rig(1);
+  requestSlot("a");
   run("a", 700);
-  ask("short", { remainingMs: 650, priority: 0 });
-  ask("long", { remainingMs: 5000 });
+  requestSlot("short", { remainingMs: 650, priority: 0 });
+  requestSlot("long", { remainingMs: 5000 });
   await clock.advance(700);
-  t.deepEqual(["short", "long"].map(said), ["waits", "granted"]);
+  t.deepEqual(["short", "long"].map(replyTo), ["waits", "granted"]);
 });
 
-test("gate: a run that takes far longer than usual is told to the judge while it lasts", async (t) => {
-  // Story: a target hangs. Its first requests are noticed long before their deadlines.
+test("gate: reports an overdue run to the detector while it is in progress", async (t) => {
+  // A target hangs. This must be noticed long before the deadlines of its first runs.
   let overdue = 0;
   const detector: HealthDetector = { ...AlwaysHealthyDetector, noteOverdue: () => (overdue += 1) };
-  const { clock, gate, ask, grantOf } = rig(2, detector);
-  ask("a", { typicalMs: 100 });
+  const { clock, gate, requestSlot, grantOf } = rig(2, detector);
+  requestSlot("a", { typicalMs: 100 });
   gate.take(grantOf("a"));
   await clock.advance(299);
   t.is(overdue, 0);
@@ -250,47 +276,48 @@
   t.is(overdue, 1);
 });
 
-test("gate: what stands in line and cannot be served in time any more is told so while it can still go elsewhere", async (t) => {
-  // Story: more requests come than a target can serve. Those that have become late go last, and
-  // were held until their route's time was up: 24 lookups of a played day for 6 s, to be refused.
-  const { clock, ask, run, said } = rig(1);
-  ask("first");
+test("gate: refuses a queued request that can no longer be served in time while another target could serve it", async (t) => {
+  // Under overload late requests are served last, and were held until the timeout of their route: in a simulated day
+  // 24 lookups waited 6 s only to be refused.
+  const { clock, requestSlot, run, replyTo } = rig(1);
+  requestSlot("first");
   run("first", 300);
-  ask("late", { remainingMs: 5000, objectiveMs: 200, typicalMs: 300 });
-  for (let n = 0; n < 20 && said("late") === "waits"; n++) {
-    ask(`next-${n}`, { remainingMs: 5000, objectiveMs: 1500, typicalMs: 300 });
+  requestSlot("late", { remainingMs: 5000, objectiveMs: 200, typicalMs: 300 });
+  for (let n = 0; n < 20 && replyTo("late") === "waits"; n++) {
+    requestSlot(`next-${n}`, { remainingMs: 5000, objectiveMs: 1500, typicalMs: 300 });
     await clock.advance(300);
     run(`next-${n}`, 300);
   }
-  t.is(said("late"), "full");
+  t.is(replyTo("late"), "full");
   t.true(clock.now() < 4000, `${clock.now()} ms`);
 });
 
-for (const { name, bodyBytes, afterMs, isGood } of [
+for (const { name, bodyBytes, afterMs, isValid } of [
   {
-    name: "without a body expires after a quarter of a second",
+    name: "without a body expires after 250 ms",
     bodyBytes: 0,
     afterMs: 260,
-    isGood: false,
+    isValid: false,
   },
   {
-    name: "with a map of 60 KB has time to get there",
+    name: "with a body of 60 KB is valid long enough for its upload",
     bodyBytes: 60_000,
     afterMs: 800,
-    isGood: true,
+    isValid: true,
   },
   {
-    name: "with a map of 60 KB is not kept for good",
+    name: "with a body of 60 KB expires in the end",
     bodyBytes: 60_000,
     afterMs: 900,
-    isGood: false,
+    isValid: false,
   },
 ]) {
   test(`gate: the grant of a request ${name}`, async (t) => {
-    // Story: on links of a few Mbit/s a map of 60 KB behind another takes half a second. Its grant was void by then.
-    const { clock, gate, ask, grantOf } = rig(1);
-    ask("a", { bodyBytes, remainingMs: 10_000 });
+    // On links of a few Mbit/s a map of 60 KB that is sent after another one takes half a second. Its grant had expired
+    // by then.
+    const { clock, gate, requestSlot, grantOf } = rig(1);
+    requestSlot("a", { bodyBytes, remainingMs: 10_000 });
     await clock.advance(afterMs);
-    t.is(gate.take(grantOf("a")) !== undefined, isGood);
+    t.is(gate.take(grantOf("a")) !== undefined, isValid);
   });
 }
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -12,75 +12,79 @@
 import { SlotTable } from "./SlotTable.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** The target, as far as the gate needs to know it. */
+/** The properties of the target that the gate uses. */
 interface GatedTarget {
+  /** Number of requests that the target can run at once. */
   readonly slots: number;
-  /** Takes new work: ready, not leaving. */
+  /** Whether the target accepts new requests: it is ready and not leaving. */
   readonly takesWork: boolean;
 }
 
 interface GateDeps {
-  /** The target as it announced itself last; undefined when it is gone. */
+  /** The target as last announced; undefined if it is gone. */
   readonly target: () => GatedTarget | undefined;
   readonly detector: HealthDetector;
   readonly clock: Clock;
   readonly grants: Pick<GrantIds, "next">;
-  /** Whether a run that began at the time given may be waiting for a call of its own; left out, none makes any. */
+  /**
+   * Whether a run that began at `since` (ms) may be waiting for a nested call; if absent, runs make no nested calls.
+   */
   readonly waitsForCall?: (since: number) => boolean;
-  /** Told when the target is thought of otherwise: well, suspect or ejected. */
+  /** Called when the health state of the target changes: healthy, suspect or ejected. */
   readonly onJudged?: (load: GateLoad) => void;
-  /** Who goes first of those that wait; left out, the product's own order. */
+  /** Order in which queued requests are served; by default that of `goesBefore`. */
   readonly order?: ConstructorParameters<typeof AdmissionQueue>[0];
 }
 
 /**
- * A grant that nobody takes expires after this long, ms. A round trip takes 3; the
- * rest is for a sidecar on a slowed machine. The slot stands empty meanwhile.
+ * Time after which an unused grant expires, ms. A round trip takes 3 ms; the rest is margin for a sidecar on a slowed
+ * VM. The slot is idle meanwhile.
  */
 const GRANT_TTL_MS = 250;
 
-/** Scales the lease with the body size, so that a slow upload does not lose its slot and retry from the start. */
+/**
+ * Upload rate by which a grant is extended for the body, bytes/ms: a slow upload must not lose its slot and start
+ * over.
+ */
 const MIN_UPLOAD_BYTES_PER_MS = 100;
 
 /**
- * Waiting asks per slot, at most. Each request asks two or three gates, so half and
- * more of what waits here will be withdrawn; a queue of eight a slot is then two to
- * four requests deep, about the longest that still meets a deadline of ten times the
- * work time.
+ * Maximum number of queued requests per slot. A sidecar asks two or three gates for each request, so half or more of
+ * the queued requests will be withdrawn. Eight per slot thus amount to two to four runs per slot, about the longest
+ * queue that still meets a deadline of ten times the service time.
  */
 const MAX_QUEUED_PER_SLOT = 8;
 
-/** What waits is weighed again at most this often, ms. */
+/** Least interval between two evaluations of the queue, ms. */
 const MIN_REEVALUATION_GAP_MS = 50;
 
-/** How often a gate that is being closed weighs what waits, ms. */
+/** Interval at which the queue is evaluated while the sidecar is being stopped, ms. */
 const SHUTDOWN_REEVALUATION_MS = 100;
 
 /**
- * A run that takes this many times its usual time is evidence against the target
- * while it lasts: one that hangs would otherwise be noticed at its deadline only.
+ * Multiple of its typical time after which a run is overdue, which counts against the target while the run is still
+ * in progress: a run that hangs would otherwise be noticed only at its deadline.
  */
 const OVERDUE_FACTOR = 3;
 
-/** Weight of the newest request in the average service time: about the last ten count. */
+/** Smoothing factor of the mean service time, an exponential moving average over about the last ten runs. */
 const SERVICE_TIME_SMOOTHING = 0.1;
 
-/** Assumed service time before any request has run, ms. */
+/** Mean service time assumed before any request has run, ms. */
 const INITIAL_SERVICE_MS = 300;
 
-/** An ask being weighed, which whoever asked may take back. */
+/** A slot request in progress, which its sender can withdraw. */
 interface SlotRequestHandle {
-  /** True while it waits for a slot. */
+  /** Whether the request was queued rather than granted or refused at once. */
   readonly queued: boolean;
-  /** Takes the ask, or a grant not taken yet, back. */
+  /** Removes the request from the queue, or revokes its grant if that is unused. */
   withdraw(): void;
 }
 
 /**
- * Admission to one target beside this sidecar. The sidecar is the only way in, so
- * it knows exactly which slots are free: requests wait here, where they can be put in
- * order and taken back, and not in the target's own queue. What cannot be served in
- * time is refused at once, so that another target can be asked.
+ * Controls admission to one local target. All requests reach the target through this sidecar, so it knows exactly
+ * which slots are free: requests wait here, where they can be ordered and withdrawn, rather than in the target's own
+ * queue. A request that cannot be served in time is refused at once, so that its sender can try another target.
  */
 export class Gate {
   readonly #deps: GateDeps;
@@ -90,7 +94,7 @@
   #reevaluatedAt = -Infinity;
   #serviceMs = INITIAL_SERVICE_MS;
   #closed = false;
-  /** When the sidecar ends, by the gate's clock, ms; runs are to be over by then. */
+  /** When the sidecar exits, by the gate's clock, ms; runs have to end before. */
   #shutdownAt = Infinity;
 
   constructor(deps: GateDeps) {
@@ -99,7 +103,7 @@
     this.#slots = new SlotTable(deps.clock);
   }
 
-  /** How busy the target is. */
+  /** Current load and health of the target. */
   get load(): GateLoad {
     const { detector } = this.#deps;
     return {
@@ -116,7 +120,10 @@
     };
   }
 
-  /** Weighs an ask; `reply` is called once, at once or when a slot is free. */
+  /**
+   * Handles a slot request; `reply` is called once, either immediately or when the request is granted or refused
+   * later.
+   */
   requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): SlotRequestHandle {
     const waiting = { request, askedAt: this.#deps.clock.now() };
     let grant: GrantId | undefined;
@@ -150,14 +157,14 @@
     };
   }
 
-  /** Keeps a grant while the body of its request is on its way here; false when the grant has expired. */
+  /** Keeps a grant while the body of its request is being received; false if the grant has expired. */
   hold(grant: GrantId): boolean {
     return this.#slots.hold(grant, () => {
       this.revoke(grant);
     });
   }
 
-  /** Begins the run that a grant was given for; undefined when the grant has expired. */
+  /** Uses a grant and begins its run; undefined if the grant has expired. */
   take(grant: GrantId): SlotRequest | undefined {
     return this.#slots.take(
       grant,
@@ -166,7 +173,10 @@
     );
   }
 
-  /** Tells the detector of a run that takes far longer than usual; false where the time is that of a target which it called. */
+  /**
+   * Reports an overdue run to the detector; false if the run may be waiting for a nested call, which is not held
+   * against it.
+   */
   #reportOverdue(since: number): boolean {
     if (this.#deps.waitsForCall?.(since)) {
       return false;
@@ -177,14 +187,14 @@
     return true;
   }
 
-  /** Ends a run, and gives its slot to the next. */
+  /** Ends a run and passes its slot on. */
   end(grant: GrantId, outcome: AttemptOutcome): void {
     const ended = this.#slots.end(grant);
     if (!ended) {
       return;
     }
     const { request, ms, wasOverdue } = ended;
-    // One that was overdue, and then ran out of time, is one observation.
+    // A run that was overdue and then timed out counts as a single observation.
     if (!(wasOverdue && outcome === AttemptOutcome.TimedOut)) {
       this.#updateDetector(() => {
         this.#deps.detector.note(outcome, ms, request.typicalMs);
@@ -195,7 +205,7 @@
     this.#refuseUnservable();
   }
 
-  /** Where the detector thinks otherwise of the target now, what waits for it is weighed again. */
+  /** Updates the detector, and evaluates the queue again if the health state of the target has changed. */
   #updateDetector(update: () => void): void {
     const before = this.#health;
     update();
@@ -205,12 +215,12 @@
     }
   }
 
-  /** Whether a slot is granted that has not been taken yet. */
+  /** Whether a grant is neither used nor expired. */
   isPending(grant: GrantId): boolean {
     return this.#slots.isPending(grant);
   }
 
-  /** True while a slot is granted or in use. */
+  /** Whether any slot is granted or in use. */
   get isBusy(): boolean {
     return this.#slots.size > 0;
   }
@@ -220,7 +230,7 @@
     return detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well";
   }
 
-  /** Looks again at what waits: the target has changed, come, or is leaving, or is thought of otherwise. */
+  /** Evaluates the queue again: the target or its health state has changed, or it has appeared or is leaving. */
   targetChanged(): void {
     this.#reevaluatedAt = -Infinity;
     this.#refuseUnservable();
@@ -228,8 +238,8 @@
   }
 
   /**
-   * Refuses what stands in line and cannot be served here any more, so that it can go
-   * elsewhere or be told so, instead of being held until its time is up.
+   * Refuses queued requests that can no longer be served here, so that they can be sent to another target, or their
+   * callers get an error, instead of being held until their deadlines.
    */
   #refuseUnservable(): void {
     const now = this.#deps.clock.now();
@@ -244,9 +254,9 @@
   }
 
   /**
-   * This sidecar is being stopped, and ends at `endAt` by its clock, ms: asks are granted for as long as
-   * their runs will be over by then. A stopping sidecar lives on for seconds for the sake of its callers; shut from the
-   * signal on, sound targets stand idle in a rolling stop while others have no room for what comes.
+   * Announces that this sidecar exits at `endAt` (ms, by the gate's clock): from now on a slot is granted only if its
+   * run is expected to end before. A stopping sidecar goes on for seconds for the sake of its callers. If its gates
+   * closed at the signal, healthy targets would be idle during a rolling restart while the others lack capacity.
    */
   closeBy(endAt: number): void {
     this.#shutdownAt = endAt;
@@ -255,7 +265,7 @@
     this.#reevaluateUntilShutdown();
   }
 
-  /** What waits is weighed again as the end comes nearer, also while no run ends. */
+  /** Evaluates the queue periodically until the sidecar exits, also while no run ends. */
   #reevaluateUntilShutdown(): void {
     if (!this.#closed && this.#deps.clock.now() < this.#shutdownAt) {
       this.#refuseUnservable();
@@ -265,18 +275,20 @@
     }
   }
 
-  /** Takes no more asks. Runs under way go on. */
+  /** Refuses all further slot requests and the queued ones. Runs in progress continue. */
   close(): void {
     this.#closed = true;
     this.targetChanged();
   }
 
-  /** Aborted once the life of the target that this gate leads to has ended: see {@link retire}. */
+  /** Aborted when the gate's incarnation of the target has ended: see {@link retire}. */
   get retired(): AbortSignal {
     return this.#retired.signal;
   }
 
-  /** The target has started again, and another gate leads to its new life: what is here is at an end. */
+  /**
+   * Closes the gate and aborts its runs, as the target has restarted and its new incarnation has a gate of its own.
+   */
   retire(): void {
     this.close();
     this.#retired.abort();
@@ -286,7 +298,7 @@
     return (this.#deps.target()?.slots ?? 0) - this.#slots.size;
   }
 
-  /** Why an ask cannot join the line; undefined when it can. */
+  /** Why a new request cannot be queued; undefined if it can. */
   #refusalReasonOnArrival({ attempt }: SlotRequest): RefusalReason | undefined {
     if (this.#slots.has(attempt)) {
       return RefusalReason.Duplicate;
@@ -296,7 +308,7 @@
     return !this.#hasIdleSlot && isQueueFull ? RefusalReason.Full : undefined;
   }
 
-  /** Why an ask, in line or about to join it, cannot be granted, now or by waiting; undefined when it can. */
+  /** Why a request, queued or new, cannot be granted now or later; undefined if it can. */
   #refusalReason(waiting: QueuedRequest): RefusalReason | undefined {
     const { request, askedAt } = waiting;
     const target = this.#deps.target();
@@ -317,7 +329,7 @@
     return waitMs > 0 && waitMs + this.#serviceMs > remainingMs ? RefusalReason.Full : undefined;
   }
 
-  /** Time that a run of the request should be given before this sidecar ends, ms; by its deadline it is over. */
+  /** Time to reserve for a run before this sidecar exits, ms; at most until its deadline, when it ends anyway. */
   #runAllowanceMs(request: SlotRequest): number {
     return Math.min(
       request.remainingMs,
@@ -325,17 +337,17 @@
     );
   }
 
-  /** What a request usually takes, ms. */
+  /** Typical time of a run of the request, or the mean service time if that is unknown, ms. */
   #typicalRunMs({ typicalMs }: SlotRequest): number {
     return typicalMs > 0 ? typicalMs : this.#serviceMs;
   }
 
-  /** A slot is free, and nobody waits for it. */
+  /** Whether a slot is free and no request is queued. */
   get #hasIdleSlot(): boolean {
     return this.#freeSlots > 0 && this.#queue.length === 0;
   }
 
-  /** How long an ask will wait for a slot from now on, ms. */
+  /** Estimated remaining wait for a slot, ms. */
   #waitMs(waiting: QueuedRequest): number {
     if (this.#hasIdleSlot) {
       return 0;
@@ -364,7 +376,7 @@
     reply({ kind: "granted", grant, load: this.load });
   }
 
-  /** Takes back a grant that was not taken; true when there was one. */
+  /** Revokes an unused grant; false if there is none. */
   revoke(grant: GrantId): boolean {
     const wasGranted = this.#slots.revoke(grant);
     if (wasGranted) {
@@ -373,7 +385,7 @@
     return wasGranted;
   }
 
-  /** Gives free slots to those whose turn it is. */
+  /** Grants the free slots to queued requests, in order. */
   #grantFreeSlots(): void {
     while (this.#freeSlots > 0) {
       const dequeued = this.#queue.dequeue(this.#deps.clock.now(), this.#serviceMs);
@@ -384,13 +396,13 @@
     }
   }
 
-  /** Grants a slot to the ask whose turn it is, unless it is of no use to it any more. */
+  /** Grants a slot to a dequeued request, or refuses it if it can no longer be served. */
   #grantOrRefuse({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["dequeue"]>>): void {
     const now = this.#deps.clock.now();
     const remainingMs = waiting.request.remainingMs - (now - waiting.askedAt);
     const current = { ...waiting.request, remainingMs };
     if (!reply || remainingMs <= 0) {
-      return; // Whoever asked has given up by its own clock.
+      return; // The sender has given up by its own clock.
     }
     if (now + this.#runAllowanceMs(current) > this.#shutdownAt) {
       reply(this.#refuse(RefusalReason.Leaving, waiting));
