--- a/src/sidecar/gate/SlotServer.test.ts
+++ b/src/sidecar/gate/SlotServer.test.ts
@@ -14,7 +14,7 @@
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
 
-/** The gate to a target `x` with one slot, and what is told to whom. */
+/** A slot server with the gate of a target `x` that has one slot; messages sent are recorded. */
 function rig() {
   const clock = new FakeClock();
   const gate = new Gate({
@@ -23,107 +23,114 @@
     clock,
     grants: new GrantIds("b"),
   });
-  const told: { to: string; message: ProtoTypes["GateMessage"] }[] = [];
+  const sent: { to: string; message: ProtoTypes["GateMessage"] }[] = [];
   const server = new SlotServer({
     gates: { get: (id) => (id === TargetId("x") ? gate : undefined) },
     metrics: { refused: () => undefined, waited: () => undefined },
-    tell: (to, message) => told.push({ to, message }),
+    tell: (to, message) => sent.push({ to, message }),
     clock,
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
-  const ask = (from: string, id: number, over: Parameters<typeof makeSlotRequest>[0] = {}) => {
-    server.receive(gateWire.ask(id, makeSlotRequest({ attempt: `${from}-${id}`, ...over })), from);
+  const requestSlot = (
+    from: string,
+    id: number,
+    overrides: Parameters<typeof makeSlotRequest>[0] = {},
+  ) => {
+    server.receive(
+      gateWire.ask(id, makeSlotRequest({ attempt: `${from}-${id}`, ...overrides })),
+      from,
+    );
   };
-  const said = () =>
-    told.map(({ to, message }) => {
+  const sentMessages = () =>
+    sent.map(({ to, message }) => {
       const reply = gateWire.readReply(message);
       const what = reply?.kind === "refused" ? reply.reason : reply?.kind;
       return `${to}: ${what ?? (message.queued ? "queued" : "news")}`;
     });
-  /** The last grant that was told to `to`. */
+  /** The last grant sent to `to`. */
   const grantOf = (to: string): GrantId => {
-    const replies = told.filter((m) => m.to === to).map((m) => gateWire.readReply(m.message));
+    const replies = sent.filter((m) => m.to === to).map((m) => gateWire.readReply(m.message));
     const grant = replies.findLast((r) => r?.kind === "granted");
     return grant?.kind === "granted" ? grant.grant : GrantId("none");
   };
-  return { clock, gate, server, ask, said, grantOf };
+  return { clock, gate, server, requestSlot, sentMessages, grantOf };
 }
 
-test("ask server: a slot is granted to the first, the next waits in line and is granted when it is free", (t) => {
-  const { gate, ask, said, grantOf } = rig();
-  ask("a", 1);
-  ask("b", 1);
+test("slot server: grants the slot to the first request, queues the second, and grants it the slot when free", (t) => {
+  const { gate, requestSlot, sentMessages, grantOf } = rig();
+  requestSlot("a", 1);
+  requestSlot("b", 1);
   gate.take(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Ok);
-  t.deepEqual(said(), ["a: granted", "b: queued", "b: granted"]);
+  t.deepEqual(sentMessages(), ["a: granted", "b: queued", "b: granted"]);
 });
 
-test("ask server: an ask that is sent again is told again what was said, and takes no second place", (t) => {
-  // Story: the answer was lost on its way. Taken for another request, the ask would hold two slots.
-  const { gate, ask, said } = rig();
-  ask("a", 1);
-  ask("a", 1);
-  ask("b", 1);
-  ask("b", 1);
-  t.deepEqual(said(), ["a: granted", "a: granted", "b: queued", "b: queued"]);
+test("slot server: a repeated request gets the last message again and takes no second place", (t) => {
+  // The reply was lost. If the repeated request counted as a new one, it would hold two slots.
+  const { gate, requestSlot, sentMessages } = rig();
+  requestSlot("a", 1);
+  requestSlot("a", 1);
+  requestSlot("b", 1);
+  requestSlot("b", 1);
+  t.deepEqual(sentMessages(), ["a: granted", "a: granted", "b: queued", "b: queued"]);
   t.is(gate.load.queued, 1);
 });
 
-test("ask server: a grant that is not taken is sent again, and expires", async (t) => {
-  const { clock, gate, ask, said } = rig();
-  ask("a", 1);
+test("slot server: an unused grant is sent again, and expires", async (t) => {
+  const { clock, gate, requestSlot, sentMessages } = rig();
+  requestSlot("a", 1);
   await clock.advance(1000);
-  t.deepEqual(said(), ["a: granted", "a: granted", "a: granted"]);
+  t.deepEqual(sentMessages(), ["a: granted", "a: granted", "a: granted"]);
   t.is(gate.load.busy, 0);
 });
 
-test("ask server: a grant that was taken is not told again", async (t) => {
-  const { clock, gate, ask, said, grantOf } = rig();
-  ask("a", 1);
+test("slot server: a used grant is not sent again", async (t) => {
+  const { clock, gate, requestSlot, sentMessages, grantOf } = rig();
+  requestSlot("a", 1);
   gate.take(grantOf("a"));
   await clock.advance(1000);
-  t.deepEqual(said(), ["a: granted"]);
+  t.deepEqual(sentMessages(), ["a: granted"]);
 });
 
-test("ask server: a withdrawn ask leaves the line, a withdrawn grant frees its slot", (t) => {
-  const { gate, server, ask, said } = rig();
-  ask("a", 1);
-  ask("b", 1);
-  ask("c", 1);
+test("slot server: withdrawing a queued request removes it, withdrawing a granted one frees its slot", (t) => {
+  const { gate, server, requestSlot, sentMessages } = rig();
+  requestSlot("a", 1);
+  requestSlot("b", 1);
+  requestSlot("c", 1);
   server.receive(gateWire.withdrawn(1), "b");
   server.receive(gateWire.withdrawn(1), "a");
-  t.deepEqual(said(), ["a: granted", "b: queued", "c: queued", "c: granted"]);
+  t.deepEqual(sentMessages(), ["a: granted", "b: queued", "c: queued", "c: granted"]);
   t.is(gate.load.queued, 0);
 });
 
-test("ask server: asks whose time is up are forgotten, also where their sender is gone", async (t) => {
-  const { clock, gate, ask, grantOf } = rig();
-  ask("a", 1);
+test("slot server: removes queued requests past their deadline, even if their sender is gone", async (t) => {
+  const { clock, gate, requestSlot, grantOf } = rig();
+  requestSlot("a", 1);
   gate.take(grantOf("a"));
-  ask("b", 1, { remainingMs: 900 });
+  requestSlot("b", 1, { remainingMs: 900 });
   await clock.advance(3000);
-  ask("c", 1, { remainingMs: 5000 });
+  requestSlot("c", 1, { remainingMs: 5000 });
   t.is(gate.load.queued, 1);
 });
 
-test("ask server: a target that is not here is said not to be, and what cannot be read is passed over", (t) => {
-  const { server, said } = rig();
+test("slot server: refuses requests for a target that is not local, and ignores malformed messages", (t) => {
+  const { server, sentMessages } = rig();
   const elsewhere = { ...makeSlotRequest(), target: TargetId("y") };
   server.receive(gateWire.ask(1, elsewhere), "a");
   server.receive({ ...gateWire.ask(2, elsewhere), ask: null }, "a");
   server.receive(gateWire.ask(3, { ...elsewhere, attempt: AttemptId("") }), "a");
-  t.deepEqual(said(), ["a: no-target"]);
+  t.deepEqual(sentMessages(), ["a: no-target"]);
 });
 
-test("ask server: whoever has asked lately hears of a change, nobody else", async (t) => {
-  // Story: a target turns gray. Sidecars that have not heard of it go on asking for it, two asks in
-  // vain for each slot that was granted on a busy day.
-  const { clock, server, ask, said } = rig();
-  ask("a", 1);
+test("slot server: sends load updates to recent requesters only", async (t) => {
+  // A target becomes gray. Sidecars that do not learn of it go on requesting its slots: on a busy day two requests were
+  // refused for each one granted.
+  const { clock, server, requestSlot, sentMessages } = rig();
+  requestSlot("a", 1);
   await clock.advance(9000);
-  ask("b", 1);
+  requestSlot("b", 1);
   await clock.advance(2000);
   server.publishLoad(TargetId("x"), { ...idleLoad, ejected: true });
-  t.deepEqual(said().slice(-1), ["b: news"]);
-  t.is(said().filter((line) => line.endsWith("news")).length, 1);
+  t.deepEqual(sentMessages().slice(-1), ["b: news"]);
+  t.is(sentMessages().filter((message) => message.endsWith("news")).length, 1);
 });
--- a/src/sidecar/gate/SlotServer.ts
+++ b/src/sidecar/gate/SlotServer.ts
@@ -14,7 +14,7 @@
 
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** The answer for a target that is not here. */
+/** Reply to a request for a target that is not local. */
 const NO_TARGET_REPLY: SlotReply = {
   kind: "refused",
   reason: RefusalReason.NoTarget,
@@ -31,52 +31,54 @@
   },
 };
 
-/** A grant that has not been taken is told again after each of these, ms: it may have been lost, and expires after 250. */
+/** Delays after which an unused grant is sent again in case it was lost, ms; the grant expires after 250 ms. */
 const GRANT_RESEND_DELAYS_MS = [60, 140];
 
-/** An ask is remembered for this long after its answer, ms: it may be sent again, as its answer was lost. */
+/** How long a request is retained after its reply, ms: the sender repeats it if the reply was lost. */
 const RETENTION_MS = 1000;
 
-/** How often asks that are over are forgotten, ms. */
+/** Least interval between removals of old entries, ms. */
 const SWEEP_MS = 500;
 
-/** Those who have asked within this long hear of what is thought of the target, ms. */
+/** Sidecars that sent a slot request within this time, ms, receive load updates. */
 const SUBSCRIPTION_MS = 10_000;
 
-/** Those who hear of it, at most; the others ask, and are told then. */
+/**
+ * Maximum number of sidecars that receive a load update; the others learn the load from the reply to a slot request.
+ */
 const MAX_SUBSCRIBERS = 128;
 
 interface SlotServerDeps {
   readonly gates: Pick<TargetGates, "get">;
   readonly metrics: Pick<SidecarMetrics, "refused" | "waited">;
-  /** Sends a message that may be lost. */
+  /** Sends a datagram, which may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
 
-/** An ask that came, until it is forgotten. */
+/** A slot request that was received. */
 interface Entry {
   readonly request: SlotRequest;
   readonly askedAt: number;
-  /** What was said of it last. */
+  /** The last message sent about it; undefined before the first one. */
   lastMessage: GateMessage | undefined;
-  /** The last word has been said: it was granted, or refused. */
+  /** It was granted or refused. */
   isSettled: boolean;
-  /** Time from which it is of no use any more, ms. */
+  /** When the entry is removed, by the clock, ms. */
   expiresAt: number;
   withdraw: () => void;
 }
 
 /**
- * The gates' side of asking: takes asks for slots from other sidecars, and from this
- * one, and answers them. An ask that is sent again is told again what was said of it. Whoever
- * has asked lately hears at once when a target is thought of otherwise, rather than by asking in vain.
+ * Receives slot requests from other sidecars and from this one, passes them to the gates, and sends the replies. The
+ * last message is sent again for a repeated request. Sidecars that sent a request recently get an update when the
+ * health state of a target changes, so that they need not learn it from a refusal.
  */
 export class SlotServer {
   readonly #deps: SlotServerDeps;
   readonly #entries = new Map<string, Entry>();
-  /** When each sidecar asked last, by its address; the last to ask stands last. */
+  /** When each sidecar last sent a request, ms, by address; the most recent is last. */
   readonly #subscribers = new Map<string, number>();
   #sweptAt = -Infinity;
 
@@ -84,7 +86,7 @@
     this.#deps = deps;
   }
 
-  /** Takes what a sidecar says. */
+  /** Handles a message from a sidecar. */
   receive(message: GateMessage, from: string): void {
     const key = `${from}/${message.ask_id}`;
     if (message.withdrawn) {
@@ -104,7 +106,7 @@
     }
   }
 
-  /** Tells those who have asked lately how a target is. */
+  /** Sends the load of a target to all recent requesters. */
   publishLoad(target: TargetId, load: GateLoad): void {
     const since = this.#deps.clock.now() - SUBSCRIPTION_MS;
     const update = gateWire.news(target, load);
