--- a/src/sidecar/gate/GateServer.test.ts
+++ b/src/sidecar/gate/GateServer.test.ts
@@ -25,14 +25,14 @@
 const ATTEMPT = AttemptId("a");
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** Longer than a grant lasts that nobody takes, and than a sidecar waits for a sign of life, ms. */
-const LONG_WAY_MS = 900;
+/** Longer than an unused grant is valid, and than a sidecar waits for a signal that its request is alive, ms. */
+const UPLOAD_MS = 900;
 
 const REMAINING_MS = 5000;
 
-/** The way in to one target of one slot that does at once whatever it is given. */
+/** A gate server for one target with one slot, whose runs end at once. */
 async function rig() {
-  const grants = new GrantIds("this life");
+  const grants = new GrantIds("this incarnation");
   const gate = new Gate({
     target: () => ({ slots: 1, takesWork: true }),
     detector: AlwaysHealthyDetector,
@@ -65,24 +65,24 @@
       headers: {
         [HOP.attempt]: ATTEMPT,
         [HOP.target]: TARGET,
-        [HOP.grant]: given,
+        [HOP.grant]: grantId,
         [HOP.remaining]: String(REMAINING_MS),
         "content-length": 8,
       },
     });
-  let given = GrantId("none");
-  const grant = () =>
+  let grantId = GrantId("none");
+  const requestSlot = () =>
     gate.requestSlot(makeSlotRequest({ attempt: ATTEMPT, remainingMs: REMAINING_MS }), (reply) => {
-      given = reply.kind === "granted" ? reply.grant : given;
+      grantId = reply.kind === "granted" ? reply.grant : grantId;
     });
   const close = () => {
     server.closeAllConnections();
     server.close();
   };
-  return { gate, sent, close, open, grant };
+  return { gate, sent, close, open, requestSlot };
 }
 
-const answerOf = (req: ClientRequest): Promise<IncomingMessage> =>
+const responseOf = (req: ClientRequest): Promise<IncomingMessage> =>
   new Promise((resolve, reject) => {
     req.once("response", (res) => {
       res.resume();
@@ -91,30 +91,30 @@
     req.once("error", reject);
   });
 
-test("gate server: an upload that is long on its way keeps its slot, shows that it is alive, and gets the time that is left", async (t) => {
-  // Story: sidecars on links of a few Mbit/s pass uploads on. A grant ran out while the body was on its way: it
-  // came in vain, was sent again to another target, and took the link from the next one, until nothing got through.
-  const { gate, sent, close, open, grant } = await rig();
-  grant();
+test("gate server: a slow upload keeps its slot, is signalled as alive, and runs with the remaining time", async (t) => {
+  // On links of a few Mbit/s between sidecars, grants expired during uploads. Each body was then sent again to another
+  // target and delayed the next upload on the link, until no upload succeeded.
+  const { gate, sent, close, open, requestSlot } = await rig();
+  requestSlot();
   const req = open();
-  let signs = 0;
-  req.on("information", () => (signs += 1));
-  const answered = answerOf(req);
+  let signals = 0;
+  req.on("information", () => (signals += 1));
+  const response = responseOf(req);
   req.write("half");
-  await sleep(LONG_WAY_MS);
-  t.true(gate.isBusy, "the slot is kept");
-  t.true(signs >= 2, `${signs} signs of life`);
+  await sleep(UPLOAD_MS);
+  t.true(gate.isBusy, "the slot is kept during the upload");
+  t.true(signals >= 2, `${signals} alive signals`);
   req.end("half");
-  const res = await answered;
+  const res = await response;
   t.is(res.headers[HOP.verdict], "done");
-  const leftMs = (sent[0]?.deadlineAt ?? Infinity) - SystemClock.now();
-  t.true(leftMs < REMAINING_MS - LONG_WAY_MS / 2, `${leftMs} ms left`);
+  const remainingMs = (sent[0]?.deadlineAt ?? Infinity) - SystemClock.now();
+  t.true(remainingMs < REMAINING_MS - UPLOAD_MS / 2, `${remainingMs} ms left`);
   close();
 });
 
-test("gate server: an upload that breaks off gives its slot back", async (t) => {
-  const { gate, sent, close, open, grant } = await rig();
-  grant();
+test("gate server: an aborted upload releases its slot", async (t) => {
+  const { gate, sent, close, open, requestSlot } = await rig();
+  requestSlot();
   const req = open();
   req.on("error", () => undefined);
   req.write("half");
@@ -127,13 +127,13 @@
   close();
 });
 
-test("gate server: a request whose grant has expired is answered before its body has arrived", async (t) => {
+test("gate server: replies to a request with an expired grant before its body has arrived", async (t) => {
   const { sent, close, open } = await rig();
   const req = open();
   req.on("error", () => undefined);
-  const answered = answerOf(req);
+  const response = responseOf(req);
   req.write("half");
-  const res = await answered;
+  const res = await response;
   t.is(res.headers[HOP.verdict], "not-run");
   t.is(sent.length, 0);
   req.destroy();
--- a/src/sidecar/gate/GateServer.ts
+++ b/src/sidecar/gate/GateServer.ts
@@ -20,19 +20,23 @@
 import type { GrantRef, TargetRunner } from "./TargetRunner.ts";
 import { unknownOutcome } from "./unknownOutcome.ts";
 
-/** How often a sidecar that waits hears that its request is alive, ms; silence for three of these is suspicious. */
+/**
+ * Interval at which a waiting sidecar is signalled that its request is alive, ms; it suspects a lost connection after
+ * three without a signal.
+ */
 const ALIVE_INTERVAL_MS = 300;
 
-/** Connections from other sidecars are kept this long without use, ms. */
+/** How long an idle connection from another sidecar is kept open, ms. */
 const KEEP_ALIVE_MS = 30_000;
 
 /**
- * The sidecar that took the request from its caller has held its body against the document's limit. A
- * small one is taken whole here too: a target is not left with half of it when that sidecar ends.
+ * Limits on request bodies, bytes. There is no maximum size, as the sending sidecar has already enforced the
+ * configured limit. A small body is buffered before the run, so that the target does not get half of it if that
+ * sidecar exits.
  */
 const BODY_LIMITS = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
 
-/** Headers of ours; they end at this hop. */
+/** Headers used between sidecars, which are not passed to the target. */
 const HOP_HEADERS = new Set<string>(Object.values(HOP));
 
 interface GateServerDeps {
@@ -43,9 +47,9 @@
 }
 
 /**
- * The way in to the targets beside this sidecar, for other sidecars and for this one:
- * for requests that were granted a slot, and those that come back for an answer whose
- * connection was lost. Slots are asked for by datagrams, see {@link SlotServer}.
+ * HTTP server through which all sidecars, this one included, send requests to the local targets. It accepts requests
+ * that hold a grant, and requests that reattach to a run after their connection was lost. Slots are requested by
+ * datagrams, see {@link SlotServer}.
  */
 export class GateServer {
   readonly #deps: GateServerDeps;
@@ -57,8 +61,8 @@
       { keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 },
       (req, res) => {
         this.#route(req, res).catch((err: unknown) => {
-          // The other sidecar broke off: only this request may suffer.
-          deps.log.debug({ err, url: req.url }, "hop request abandoned");
+          // The other sidecar closed the connection; this affects no other request.
+          deps.log.debug({ err, url: req.url }, "request from sidecar aborted");
           res.destroy();
         });
       },
@@ -86,13 +90,16 @@
     const { runner, clock, log } = this.#deps;
     const arrivedAt = clock.now();
     const aliveSignal = new AliveSignal(res, clock);
-    // From its head on: whoever waits would take a body that is long on its way for a lost connection.
+    // Signalling starts with the head: during a long upload the sender would otherwise assume a lost connection.
     aliveSignal.start();
     if (!runner.hold(grant)) {
       req.resume();
       const result = await runner.outcomeOf(grant);
       aliveSignal.stop();
-      log.info({ ...grant, verdict: result.verdict, outcome: result.outcome }, "grant not usable");
+      log.info(
+        { ...grant, verdict: result.verdict, outcome: result.outcome },
+        "grant cannot be used",
+      );
       this.#respond(res, result);
       return;
     }
@@ -135,11 +142,11 @@
         callerService: ServiceName(String(headers[HOP.caller] ?? "")),
         echoHeader: typeof echo === "string" ? echo : undefined,
       },
-      // From when the head came: the body's way here is part of the time that is left.
+      // Counted from the arrival of the head: the upload of the body is part of the remaining time.
       deadlineAt: arrivedAt + Number(headers[HOP.remaining]),
       idempotent,
-      // Work that must not repeat runs to its end even when its caller leaves: cutting
-      // it off would only leave its outcome unknown.
+      // A run that must not be repeated goes on when its caller disconnects: aborting it would only leave its
+      // outcome unknown.
       cancelled: idempotent ? callerGone : undefined,
       wholeAnswer: !idempotent,
     };
@@ -150,7 +157,7 @@
     const grant = readGrant(req);
     const state = this.#deps.runner.state(grant);
     const { target } = grant;
-    this.#deps.log.info({ ...grant, state: state.kind }, "result requested again");
+    this.#deps.log.info({ ...grant, state: state.kind }, "sender reattached to run");
     switch (state.kind) {
       case "running": {
         const aliveSignal = new AliveSignal(res, this.#deps.clock);
@@ -190,12 +197,12 @@
       res.setHeader("content-length", contentLength(res, headers, body));
       res.end(body);
     } else {
-      // On a body cut short by the target, pipeline destroys this connection too, so
-      // that the other sidecar sees that it is incomplete.
+      // If the target cuts its body short, pipeline destroys this connection too, so that the other sidecar sees an
+      // incomplete response.
       pipeline(body, res, (err) => {
         if (err) {
           const attempt = res.req.headers[HOP.attempt];
-          this.#deps.log.info({ attempt, err: err.message }, "streamed answer cut short");
+          this.#deps.log.info({ attempt, err: err.message }, "streamed response cut short");
         }
       });
     }
@@ -215,7 +222,7 @@
   return endToEnd(headers, (name) => HOP_HEADERS.has(name));
 }
 
-/** Tells the other side, while it waits, that its request is alive here (status 102, RFC 2518). */
+/** Signals a waiting sidecar periodically that its request is alive (status 102, RFC 2518). */
 class AliveSignal {
   readonly #res: ServerResponse;
   readonly #clock: Clock;
@@ -226,7 +233,7 @@
     this.#clock = clock;
   }
 
-  /** Signals now and again until stopped. */
+  /** Sends a signal now and then every {@link ALIVE_INTERVAL_MS} until stopped. */
   start(): void {
     if (this.#res.destroyed || this.#res.headersSent) {
       return;
@@ -243,7 +250,7 @@
   }
 }
 
-/** The target's headers but for those of its connection. */
+/** The target's response headers without the hop-by-hop ones. */
 function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[] | undefined> {
@@ -252,7 +259,7 @@
   return Object.fromEntries(Object.entries(headers).filter(([name]) => kept.has(name)));
 }
 
-/** A HEAD answer keeps the length that the target gave; any other has its body's. */
+/** Content length, bytes: for a HEAD request the one that the target declared, otherwise the body's size. */
 function contentLength(
   res: ServerResponse,
   headers: Readonly<Record<string, string | string[] | undefined>>,
