--- a/src/sidecar/gate/TargetRunner.test.ts
+++ b/src/sidecar/gate/TargetRunner.test.ts
@@ -17,22 +17,22 @@
 import { RunTable } from "./RunTable.ts";
 import { TargetRunner, type GrantRef } from "./TargetRunner.ts";
 
-const BOOT = "this life";
+const BOOT = "this incarnation";
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 const attempt = AttemptId("a");
 const target = TargetId("x");
 
-/** Longer than any attempt is remembered, ms. */
-const FORGET_MS = 120_000;
+/** Longer than a run without a later deadline is retained, ms. */
+const RETENTION_MS = 120_000;
 
 function rig() {
   const clock = new FakeClock();
   const here = new ActiveRuns(clock);
-  const noted: AttemptOutcome[] = [];
+  const reported: AttemptOutcome[] = [];
   const grants = new GrantIds(BOOT);
   const gate = new Gate({
     target: () => ({ slots: 1, takesWork: true }),
-    detector: { ...AlwaysHealthyDetector, note: (outcome) => noted.push(outcome) },
+    detector: { ...AlwaysHealthyDetector, note: (outcome) => reported.push(outcome) },
     clock,
     grants,
   });
@@ -51,10 +51,10 @@
     grants,
     log,
   });
-  const run = (name: GrantRef, over: Partial<TargetRequest> = {}) =>
-    runner.run(name, () => ({ deadlineAt: 0, ...over }) as TargetRequest);
-  /** Has a slot granted; returns how the grant is named. */
-  const ask = (): GrantRef => {
+  const run = (ref: GrantRef, overrides: Partial<TargetRequest> = {}) =>
+    runner.run(ref, () => ({ deadlineAt: 0, ...overrides }) as TargetRequest);
+  /** Requests a slot and returns its grant. */
+  const requestGrant = (): GrantRef => {
     let grant = GrantId("none");
     gate.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       grant = reply.kind === "granted" ? reply.grant : grant;
@@ -67,9 +67,9 @@
     runs,
     runner,
     run,
-    ask,
+    requestGrant,
     here,
-    noted,
+    reported,
     sends: () => sends,
     end: (result: ForwardResult) => {
       settle(result);
@@ -77,16 +77,20 @@
   };
 }
 
-const unusable: readonly { name: string; grant: GrantId; asked: boolean }[] = [
-  { name: "that was never given", grant: GrantId(`${BOOT}.1`), asked: false },
-  { name: "of an earlier life of the process", grant: GrantId("earlier.1"), asked: true },
+const unusable: readonly { name: string; grant: GrantId; isRequested: boolean }[] = [
+  { name: "that was never issued", grant: GrantId(`${BOOT}.1`), isRequested: false },
+  {
+    name: "of an earlier incarnation of the process",
+    grant: GrantId("earlier.1"),
+    isRequested: true,
+  },
 ];
 
-for (const { name, grant, asked } of unusable) {
-  test(`runner: a grant ${name} runs nothing, and says so`, async (t) => {
-    const { run, ask, sends } = rig();
-    if (asked) {
-      ask();
+for (const { name, grant, isRequested } of unusable) {
+  test(`target runner: a request with a grant ${name} is reported as not run`, async (t) => {
+    const { run, requestGrant, sends } = rig();
+    if (isRequested) {
+      requestGrant();
     }
     const out = await run({ attempt, target, grant });
     t.is(out.verdict.kind, "not-run");
@@ -94,11 +98,11 @@
   });
 }
 
-test("runner: one grant runs once, however often it is sent", async (t) => {
-  // Story: a connection is reset after the request went out, and the sidecar that
-  // sent it sends it again. The booking must not be made twice.
-  const { ask, run, end, sends } = rig();
-  const grant = ask();
+test("target runner: a request that is sent repeatedly runs once per grant", async (t) => {
+  // The connection is reset after a request was sent, and the sidecar sends the request again. The booking must not be
+  // made twice.
+  const { requestGrant, run, end, sends } = rig();
+  const grant = requestGrant();
   const sent = [run(grant), run(grant)];
   end(results.done);
   sent.push(run(grant));
@@ -107,9 +111,9 @@
   t.is(sends(), 1);
 });
 
-test("runner: whoever lost the connection joins the run, or fetches its answer", async (t) => {
-  const { ask, run, end, runner } = rig();
-  const grant = ask();
+test("target runner: a sender that lost its connection can reattach during the run and after it", async (t) => {
+  const { requestGrant, run, end, runner } = rig();
+  const grant = requestGrant();
   void run(grant);
   const joined = runner.state(grant);
   t.is(joined.kind, "running");
@@ -119,12 +123,11 @@
   t.is(later.kind === "ended" && later.result.verdict.kind, "done");
 });
 
-test("runner: an attempt asked for before it came is taken back, and never runs", async (t) => {
-  // Story: a request is held up in a cut link, and its sender asks over a new
-  // connection. It is told that nothing ran; when the request comes after all, that
-  // must stay true.
-  const { ask, run, runner, sends } = rig();
-  const grant = ask();
+test("target runner: an attempt that was reported as not run never runs, even if its request arrives later", async (t) => {
+  // A request is delayed by a network partition, and its sender reattaches over a new connection. The reply is that
+  // nothing has run, which must remain true when the request arrives after all.
+  const { requestGrant, run, runner, sends } = rig();
+  const grant = requestGrant();
   const state = runner.state(grant);
   t.is(state.kind === "ended" && state.result.verdict.kind, "not-run");
   const late = await run(grant);
@@ -132,36 +135,36 @@
   t.is(sends(), 0);
 });
 
-test("runner: nothing is said of an attempt that an earlier life of the process was given", (t) => {
+test("target runner: a run of an earlier incarnation of the process is unknown, not reported as not run", (t) => {
   const { runner } = rig();
   t.is(runner.state({ attempt, target, grant: GrantId("earlier.1") }).kind, "unknown");
 });
 
-test("run table: attempts are forgotten in the end", async (t) => {
-  const { clock, ask, run, end, runs } = rig();
-  const name = ask();
-  const first = run(name);
+test("run table: old runs are removed", async (t) => {
+  const { clock, requestGrant, run, end, runs } = rig();
+  const ref = requestGrant();
+  const first = run(ref);
   end(results.done);
   await first;
-  await clock.advance(FORGET_MS);
+  await clock.advance(RETENTION_MS);
   runs.track(GrantId("b"), Promise.resolve(results.done), 0);
   t.is(runs.size, 1);
-  t.is(runs.state(name.grant).kind, "unknown");
+  t.is(runs.state(ref.grant).kind, "unknown");
 });
 
-test("runner: a run is not reported as not run before its request's deadline, however long ago it ended", async (t) => {
-  const { clock, ask, run, end, runs, runner } = rig();
-  const name = ask();
-  const first = run(name, { deadlineAt: 2 * FORGET_MS });
+test("target runner: a run is not reported as not run before its deadline, however long ago it ended", async (t) => {
+  const { clock, requestGrant, run, end, runs, runner } = rig();
+  const ref = requestGrant();
+  const first = run(ref, { deadlineAt: 2 * RETENTION_MS });
   end(results.done);
   await first;
-  await clock.advance(FORGET_MS);
+  await clock.advance(RETENTION_MS);
   runs.track(GrantId("b"), Promise.resolve(results.done), 0);
-  const state = runner.state(name);
+  const state = runner.state(ref);
   t.is(state.kind === "ended" && state.result.verdict.kind, "done");
 });
 
-test("run table: answers beyond the bound are dropped oldest first, and said to be", async (t) => {
+test("run table: results beyond the size limit are dropped oldest first and reported as forgotten", async (t) => {
   const runs = new RunTable(new FakeClock());
   const large = { ...results.done, body: Buffer.alloc(12 << 20) };
   for (const name of ["a", "b", "c"]) {
@@ -173,29 +176,29 @@
   t.deepEqual(kinds, ["forgotten", "ended", "ended"]);
 });
 
-const failures: readonly { name: string; callIsServed: boolean; isHeld: boolean }[] = [
+const failures: readonly { name: string; callIsServed: boolean; countsAgainstTarget: boolean }[] = [
   {
-    name: "after a call that was not served is not held against the target",
+    name: "after a nested call was lost does not count against the target",
     callIsServed: false,
-    isHeld: false,
+    countsAgainstTarget: false,
   },
   {
-    name: "though its call was served is held against the target",
+    name: "although its nested call was served counts against the target",
     callIsServed: true,
-    isHeld: true,
+    countsAgainstTarget: true,
   },
 ];
 
-for (const { name, callIsServed, isHeld } of failures) {
-  test(`runner: a run that fails ${name}`, async (t) => {
-    // Story: sign-offs call the reports' service in the midst of their work, and fail when it fails them. Held
-    // against the targets that ran the sign-offs, that had sound ones ejected all over the fleet.
-    const { run, ask, end, here, noted } = rig();
-    const running = run(ask());
+for (const { name, callIsServed, countsAgainstTarget } of failures) {
+  test(`target runner: a run that fails ${name}`, async (t) => {
+    // Sign-offs make nested calls to the reports service and fail when it fails. Counted against the targets that ran
+    // the sign-offs, these failures got healthy targets ejected across the fleet.
+    const { run, requestGrant, end, here, reported } = rig();
+    const running = run(requestGrant());
     here.beginCall({ route: "index", service: "reports", weight: 1 })(callIsServed);
     end(results.failed);
     const out = await running;
-    t.is(out.outcome, AttemptOutcome.Failed, "whoever sent it is told that it failed");
-    t.deepEqual(noted, [isHeld ? AttemptOutcome.Failed : AttemptOutcome.CallLost]);
+    t.is(out.outcome, AttemptOutcome.Failed, "the sender gets the failure");
+    t.deepEqual(reported, [countsAgainstTarget ? AttemptOutcome.Failed : AttemptOutcome.CallLost]);
   });
 }
--- a/src/sidecar/gate/TargetRunner.ts
+++ b/src/sidecar/gate/TargetRunner.ts
@@ -15,7 +15,7 @@
 import { unknownOutcome } from "./unknownOutcome.ts";
 import { EXPIRED_GRANT } from "./EXPIRED_GRANT.ts";
 
-/** A grant, as whoever was given it names it. */
+/** Identifies a grant in a request of its holder. */
 export interface GrantRef {
   readonly attempt: AttemptId;
   readonly target: TargetId;
@@ -26,15 +26,15 @@
   readonly gates: Pick<TargetGates, "get">;
   readonly runs: RunTable;
   readonly here: ActiveRuns;
-  /** One of the targets beside this sidecar. */
+  /** Looks up a local target. */
   readonly target: (id: TargetId) => TargetInfo | undefined;
-  /** Sends a request to the target, at most once under its idempotency key where it has one. */
+  /** Sends a request to the target; if it has an idempotency key, at most once under that key. */
   readonly send: (target: TargetInfo, req: TargetRequest) => Promise<ForwardResult>;
   readonly grants: Pick<GrantIds, "isOwn">;
   readonly log: bunyan;
 }
 
-/** Runs at a target what was granted a slot there, once for each grant, and knows how each run stands. */
+/** Runs requests at the local targets, once for each grant, and reports the state of each run. */
 export class TargetRunner {
   readonly #deps: TargetRunnerDeps;
 
@@ -43,19 +43,19 @@
   }
 
   /**
-   * Keeps the slot of a request whose head has arrived while its body is on its way; false when the grant has expired.
-   * A large body on a slow link takes longer than a grant lasts.
+   * Keeps the slot of a request while its body is being received; false if the grant has expired. The upload of a
+   * large body over a slow link takes longer than a grant is valid.
    */
   hold({ target, grant }: GrantRef): boolean {
     return this.#deps.gates.get(target)?.hold(grant) ?? false;
   }
 
-  /** Gives back the slot of a request whose body broke off. */
+  /** Releases the slot of a request whose upload was aborted. */
   release({ target, grant }: GrantRef): void {
     this.#deps.gates.get(target)?.revoke(grant);
   }
 
-  /** Runs the request that a grant was given for. */
+  /** Runs the request of a grant, or returns the outcome of an earlier use of the grant. */
   run(ref: GrantRef, makeRequest: () => TargetRequest): Promise<ForwardResult> {
     const target = this.#deps.target(ref.target);
     const gate = this.#deps.gates.get(ref.target);
@@ -69,8 +69,8 @@
   }
 
   /**
-   * The outcome of a request that cannot use its grant: that of the run which used it already, or not-run where the
-   * grant has run out, or was given by an earlier life of the process.
+   * Outcome of a request that cannot use its grant: that of the run that has used it, or `not-run` if the grant has
+   * expired or was issued by an earlier incarnation of the process.
    */
   outcomeOf({ target, grant }: GrantRef): Promise<ForwardResult> {
     const state = this.#deps.runs.state(grant);
@@ -86,8 +86,8 @@
   }
 
   /**
-   * How a run stands, for whoever lost the connection to it. A grant that was not
-   * taken is taken back: its request will never run.
+   * State of a run, for a sender that lost its connection. An unused grant is revoked, so that its request can no
+   * longer run once it is reported as not run.
    */
   state({ target, grant }: GrantRef): RunState {
     if (this.#deps.gates.get(target)?.revoke(grant)) {
@@ -95,7 +95,7 @@
     }
     const state = this.#deps.runs.state(grant);
     if (state.kind === "unknown" && this.#deps.grants.isOwn(grant)) {
-      // Every run of this life is remembered, and a grant that has expired stays so.
+      // Every run of this incarnation is retained until after its deadline, and an expired grant stays expired.
       return { kind: "ended", result: notRun("the grant was not taken") };
     }
     return state;
@@ -120,9 +120,9 @@
   }
 
   /**
-   * What the end of a run says of the target. One that fails, or gives up with its time, right after a call of its
-   * own was not served fails for want of that call: held against the target, one gray service has the targets of every
-   * service that calls it ejected.
+   * Outcome of a run as reported to the health detector. A run that fails or times out right after one of its nested
+   * calls was not served fails because of that call. Counting it against the target would let a single gray service
+   * get the targets of all services that call it ejected.
    */
   #detectorOutcome(
     { outcome }: ForwardResult,
@@ -134,7 +134,7 @@
     if (!lostCall) {
       return outcome;
     }
-    this.#deps.log.info({ ...names, lostCall }, "run failed with a call");
+    this.#deps.log.info({ ...names, lostCall }, "run failed after a lost nested call");
     return AttemptOutcome.CallLost;
   }
 }
