--- a/src/sidecar/gate/TargetGates.test.ts
+++ b/src/sidecar/gate/TargetGates.test.ts
@@ -21,15 +21,15 @@
 const ID = TargetId("x");
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** The gates beside one target with a single slot that runs what it is given until it is lost. */
+/** The gates of one local target with a single slot, whose runs last until they are aborted. */
 function rig() {
   const clock = new FakeClock();
-  const beside = [makeTarget("x", { slots: 1, born: 100 })];
-  const renewed: number[] = [];
+  const targets = [makeTarget("x", { slots: 1, born: 100 })];
+  const restarts: number[] = [];
   const detectors: HealthDetector[] = [];
   const grants = new GrantIds("this process");
   const gates = new TargetGates({
-    targets: () => beside,
+    targets: () => targets,
     detectorOf: () => {
       const detector = { ...AlwaysHealthyDetector };
       detectors.push(detector);
@@ -38,13 +38,13 @@
     clock,
     grants,
     log,
-    onNewLife: ({ born }) => renewed.push(born),
+    onNewLife: ({ born }) => restarts.push(born),
   });
   const runner = new TargetRunner({
     gates,
     runs: new RunTable(clock),
     here: new ActiveRuns(clock),
-    target: () => beside[0],
+    target: () => targets[0],
     send: (_target, { lost }) =>
       new Promise<ForwardResult>((resolve) => {
         lost?.addEventListener("abort", () => {
@@ -64,59 +64,58 @@
     log,
   });
   const replies = new Map<string, SlotReply["kind"]>();
-  const given = new Map<string, GrantId>();
-  const ask = (attempt: string) =>
+  const grantOf = new Map<string, GrantId>();
+  const requestSlot = (attempt: string) =>
     gates.get(ID)?.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       replies.set(attempt, reply.kind);
       if (reply.kind === "granted") {
-        given.set(attempt, reply.grant);
+        grantOf.set(attempt, reply.grant);
       }
     });
   const run = (attempt: string) =>
     runner.run(
-      { attempt: AttemptId(attempt), target: ID, grant: given.get(attempt) ?? GrantId("none") },
+      { attempt: AttemptId(attempt), target: ID, grant: grantOf.get(attempt) ?? GrantId("none") },
       () => ({}) as TargetRequest,
     );
-  const startAgain = () => {
-    beside[0] = makeTarget("x", { slots: 1, born: 200 });
+  const restart = () => {
+    targets[0] = makeTarget("x", { slots: 1, born: 200 });
     gates.targetsChanged();
   };
-  return { gates, detectors, renewed, replies, ask, run, startAgain };
+  return { gates, detectors, restarts, replies, requestSlot, run, restart };
 }
 
-// Story: a target crashes behind a cut, so that no connection is reset, and starts again under its
-// id. What it was working on is lost. Without this, the caller waited until its deadline, and the
-// slot counted as taken for as long, in a target that had nothing to do.
-test("gates: what runs at a target that starts again ends at once, in doubt, and its slots are free", async (t) => {
-  const { ask, run, startAgain, replies, renewed } = rig();
-  ask("a");
+// A target crashes during a network partition, so that no connection is reset, and restarts under the same id; its runs
+// are lost. Without this, callers waited until their deadlines, and the slots of an idle target counted as in use.
+test("target gates: runs of a restarted target end at once with an unknown outcome and free their slots", async (t) => {
+  const { requestSlot, run, restart, replies, restarts } = rig();
+  requestSlot("a");
   const lost = run("a");
-  startAgain();
+  restart();
   t.is((await lost).verdict.kind, "may-have-run");
-  ask("b");
+  requestSlot("b");
   t.is(replies.get("b"), "granted");
-  t.deepEqual(renewed, [200], "kept connections are left behind");
+  t.deepEqual(restarts, [200], "pooled connections to the target are renewed");
 });
 
-test("gates: a grant of a target's last life has expired in the next", async (t) => {
-  const { ask, run, startAgain } = rig();
-  ask("a");
-  startAgain();
+test("target gates: a grant of the previous incarnation of a target has expired", async (t) => {
+  const { requestSlot, run, restart } = rig();
+  requestSlot("a");
+  restart();
   t.is((await run("a")).verdict.kind, "not-run");
 });
 
-test("gates: what waits for a target that starts again is told to go elsewhere", (t) => {
-  const { ask, startAgain, replies } = rig();
-  ask("a");
-  ask("b");
-  startAgain();
+test("target gates: requests queued at a target that restarts are refused", (t) => {
+  const { requestSlot, restart, replies } = rig();
+  requestSlot("a");
+  requestSlot("b");
+  restart();
   t.is(replies.get("b"), "refused");
 });
 
-test("gates: a target that starts again is judged afresh", (t) => {
-  const { gates, detectors, startAgain } = rig();
+test("target gates: a restarted target gets a new health detector", (t) => {
+  const { gates, detectors, restart } = rig();
   gates.get(ID);
-  startAgain();
+  restart();
   gates.get(ID);
   t.is(detectors.length, 2);
 });
--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -9,27 +9,27 @@
 import type { GrantIds } from "./GrantIds.ts";
 
 interface TargetGatesDeps {
-  /** Targets beside this sidecar now. */
+  /** The current local targets. */
   readonly targets: () => readonly TargetInfo[];
   readonly detectorOf: (target: TargetInfo) => HealthDetector;
   readonly clock: Clock;
   readonly log: bunyan;
   readonly grants: GrantIds;
-  /** Whether a run that began at the time given may be waiting for a call of its own. */
+  /** Whether a run that began at `since` (ms) may be waiting for a nested call. */
   readonly waitsForCall?: (since: number) => boolean;
-  /** Told when a target is thought of otherwise. */
+  /** Called when the health state of a target changes. */
   readonly onJudged?: (target: TargetId, load: GateLoad) => void;
-  /** Told of a target that has started again under its id, after the gate to its last life was retired. */
+  /** Called when a target has restarted under its id, after the gate of its previous incarnation was retired. */
   readonly onNewLife?: (target: TargetInfo) => void;
 }
 
-/** The gate to one life of a target. */
+/** The gate of one incarnation of a target. */
 interface GateEntry {
   readonly born: number;
   readonly gate: Gate;
 }
 
-/** The gates to the targets beside this sidecar: mostly one, two while one takes another's place. */
+/** The gates of the local targets: usually one, two while one target replaces another. */
 export class TargetGates {
   readonly #deps: TargetGatesDeps;
   readonly #gates = new Map<TargetId, GateEntry>();
@@ -40,7 +40,7 @@
     this.#deps = deps;
   }
 
-  /** The gate to a target that is here; undefined when it is not. */
+  /** The gate of a local target; undefined if there is no such target. */
   get(id: TargetId): Gate | undefined {
     const target = this.#deps.targets().find((t) => t.id === id);
     if (target) {
@@ -49,7 +49,7 @@
     return this.#gates.get(id)?.gate ?? (target && this.#createGate(target));
   }
 
-  /** Targets have come, changed or gone: what waits for one of them is weighed again. */
+  /** Evaluates the queues of all gates again: targets have appeared, changed or left. */
   targetsChanged(): void {
     const targets = this.#deps.targets();
     for (const target of targets) {
@@ -64,7 +64,7 @@
     }
   }
 
-  /** This sidecar is being stopped, and ends at `endAt`, ms: see {@link Gate.closeBy}. */
+  /** Announces that this sidecar exits at `endAt` (ms): see {@link Gate.closeBy}. */
   closeBy(endAt: number): void {
     this.#shutdownAt = endAt;
     for (const [target, { gate }] of this.#gates) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Takes no more asks. Runs under way go on. */
+  /** Refuses all further slot requests. Runs in progress continue. */
   close(): void {
     this.#closed = true;
     for (const [target, { gate }] of this.#gates) {
@@ -84,15 +84,15 @@
     }
   }
 
-  /** True while a slot of any target is granted or in use. */
+  /** Whether any slot of any target is granted or in use. */
   get isBusy(): boolean {
     return [...this.#gates.values()].some(({ gate }) => gate.isBusy);
   }
 
   /**
-   * Retires the gate to an earlier life of `target`. A target that starts again holds nothing
-   * of before: a run given to its last life would otherwise be waited for until its deadline,
-   * its slot be counted as taken, and the failures of that life be held against this one.
+   * Retires the gate of a previous incarnation of `target`. A restarted target has lost its earlier runs: their
+   * senders would otherwise wait until the deadlines, their slots would count as in use, and the failures of that
+   * incarnation would count against the new one.
    */
   #retirePreviousIncarnation(target: TargetInfo): void {
     const entry = this.#gates.get(target.id);
@@ -102,7 +102,7 @@
     this.#gates.delete(target.id);
     entry.gate.retire();
     const { id, born } = target;
-    this.#deps.log.info({ target: id, born, before: entry.born }, "target started again");
+    this.#deps.log.info({ target: id, born, before: entry.born }, "target restarted");
     this.#deps.onNewLife?.(target);
   }
 
