--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -3,8 +3,8 @@
 
 /**
  * Longest time between the end of a failed nested call and the failure of the run that depends on it, ms. The call's
- * response has to reach the target and the target's own response the sidecar, both on one VM; the rest is margin for a
- * pause of either process.
+ * response has to reach the target and the target's own response the sidecar, both on one VM; the rest is margin for
+ * a pause of either process.
  */
 const LOST_CALL_WINDOW_MS = 100;
 
--- a/src/sidecar/gate/CallsPerRun.ts
+++ b/src/sidecar/gate/CallsPerRun.ts
@@ -14,9 +14,9 @@
 const MIN_MEAN = 0.02;
 
 /**
- * Measures how many nested calls the local targets make per run. Retrying a request also repeats its nested calls, which
- * count against the retry budgets of the called services: without counting them, half of the requests that exceeded
- * such a budget were nested calls for which no retry token had been borrowed.
+ * Measures how many nested calls the local targets make per run. Retrying a request also repeats its nested calls,
+ * which count against the retry budgets of the called services: without counting them, half of the requests that
+ * exceeded such a budget were nested calls for which no retry token had been borrowed.
  */
 export class CallsPerRun {
   readonly #clock: Clock;
--- a/src/sidecar/gate/RunTable.ts
+++ b/src/sidecar/gate/RunTable.ts
@@ -14,8 +14,8 @@
 const MAX_RETAINED_BYTES = 32 << 20;
 
 /**
- * How long a run is retained after its end or its request's deadline, whichever is later, ms. A request that was delayed
- * by a network partition or by a suspended VM is then still recognized when it arrives.
+ * How long a run is retained after its end or its request's deadline, whichever is later, ms. A request that was
+ * delayed by a network partition or by a suspended VM is then still recognized when it arrives.
  */
 const RETENTION_MS = 60_000;
 
@@ -32,8 +32,8 @@
 
 /**
  * Records every run at the local targets, and retains its result for a while. A sender that lost its connection can
- * reattach over a new one and gets the same result, so that a broken connection between two sidecars neither leaves the
- * outcome of a request unknown nor makes it run twice.
+ * reattach over a new one and gets the same result, so that a broken connection between two sidecars neither leaves
+ * the outcome of a request unknown nor makes it run twice.
  */
 export class RunTable {
   readonly #clock: Clock;
--- a/src/sidecar/gate/goesBefore.ts
+++ b/src/sidecar/gate/goesBefore.ts
@@ -8,11 +8,12 @@
 const LATE_PRIORITY_STEP_MS = 500;
 
 /**
- * Whether `a` gets the next free slot before `b`. Nested calls go first: the run that makes one holds a slot at another
- * target, and if the call is refused, that run's work is lost and its caller gets a failure instead of a reply that
- * nothing has run. Next come requests that can still meet their latency objective, earliest due first, with a head start
- * for priority: earliest due date first meets the most objectives. Under overload that order alone would spend the slots
- * on requests that are already late, so late requests go last, by age, with a longer head start for priority.
+ * Whether `a` gets the next free slot before `b`. Nested calls go first: the run that makes one holds a slot at
+ * another target, and if the call is refused, that run's work is lost and its caller gets a failure instead of a
+ * reply that nothing has run. Next come requests that can still meet their latency objective, earliest due first,
+ * with a head start for priority: earliest due date first meets the most objectives. Under overload that order alone
+ * would spend the slots on requests that are already late, so late requests go last, by age, with a longer head start
+ * for priority.
  *
  * @param now current time by the gate's clock, ms
  * @param serviceMs mean service time at the target, ms
