--- a/src/sidecar/gate/AdmissionQueue.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -40,7 +40,7 @@
 
   /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
   dequeue(now: number, serviceMs: number): DequeuedRequest | undefined {
-    const waiting = this.#queue.take(now, serviceMs);
+    const waiting = this.#queue.dequeue(now, serviceMs);
     if (!waiting) {
       return undefined;
     }
--- a/src/sidecar/gate/Gate.test.ts
+++ b/src/sidecar/gate/Gate.test.ts
@@ -186,7 +186,7 @@
   run("a", 500);
   requestSlot("b");
   target.takesWork = false;
-  gate.targetChanged();
+  gate.reevaluateQueue();
   requestSlot("c");
   t.deepEqual(["b", "c"].map(replyTo), ["leaving", "leaving"]);
   t.true(gate.isBusy, "runs in progress continue");
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -166,7 +166,7 @@
 
   /** Uses a grant and begins its run; undefined if the grant has expired. */
   take(grant: GrantId): SlotRequest | undefined {
-    return this.#slots.take(
+    return this.#slots.redeem(
       grant,
       (request) => this.#typicalRunMs(request) * OVERDUE_FACTOR,
       (since) => this.#reportOverdue(since),
@@ -210,7 +210,7 @@
     const before = this.#health;
     update();
     if (this.#health !== before) {
-      this.targetChanged();
+      this.reevaluateQueue();
       this.#deps.onJudged?.(this.load);
     }
   }
@@ -231,7 +231,7 @@
   }
 
   /** Evaluates the queue again: the target or its health state has changed, or it has appeared or is leaving. */
-  targetChanged(): void {
+  reevaluateQueue(): void {
     this.#reevaluatedAt = -Infinity;
     this.#refuseUnservable();
     this.#grantFreeSlots();
@@ -255,12 +255,12 @@
 
   /**
    * Announces that this sidecar exits at `endAt` (ms, by the gate's clock): from now on a slot is granted only if its
-   * run is expected to end before. A stopping sidecar goes on for seconds for the sake of its callers. If its gates
+   * run is expected to end before. A stopping sidecar keeps running for seconds to serve its callers. If its gates
    * closed at the signal, healthy targets would be idle during a rolling restart while the others lack capacity.
    */
   closeBy(endAt: number): void {
     this.#shutdownAt = endAt;
-    this.targetChanged();
+    this.reevaluateQueue();
     this.#deps.onJudged?.(this.load);
     this.#reevaluateUntilShutdown();
   }
@@ -278,7 +278,7 @@
   /** Refuses all further slot requests and the queued ones. Runs in progress continue. */
   close(): void {
     this.#closed = true;
-    this.targetChanged();
+    this.reevaluateQueue();
   }
 
   /** Aborted when the gate's incarnation of the target has ended: see {@link retire}. */
--- a/src/sidecar/gate/SlotRequestQueue.test.ts
+++ b/src/sidecar/gate/SlotRequestQueue.test.ts
@@ -130,9 +130,9 @@
       const request = makeSlotRequest({ attempt, priority, objectiveMs, isCall, typicalMs: 0 });
       queue.add({ request, askedAt });
     }
-    const taken = rows.map(() => queue.take(now, serviceMs)?.request.attempt);
+    const taken = rows.map(() => queue.dequeue(now, serviceMs)?.request.attempt);
     t.is(taken.join(""), order);
-    t.is(queue.take(now, serviceMs), undefined);
+    t.is(queue.dequeue(now, serviceMs), undefined);
   });
 }
 
@@ -159,7 +159,7 @@
     ({ request: makeSlotRequest({ attempt, objectiveMs: 300, typicalMs }), askedAt: 0 }) as const;
   queue.add(row("long", 200));
   queue.add(row("short", 20));
-  t.is(queue.take(150, 100)?.request.attempt, AttemptId("short"));
+  t.is(queue.dequeue(150, 100)?.request.attempt, AttemptId("short"));
 });
 
 test("slot request queue: a removed request is not served", (t) => {
@@ -168,5 +168,5 @@
   queue.add(waiting);
   t.true(queue.remove(waiting));
   t.false(queue.remove(waiting));
-  t.is(queue.take(0, 50), undefined);
+  t.is(queue.dequeue(0, 50), undefined);
 });
--- a/src/sidecar/gate/SlotRequestQueue.ts
+++ b/src/sidecar/gate/SlotRequestQueue.ts
@@ -33,7 +33,7 @@
   }
 
   /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
-  take(now: number, serviceMs: number): QueuedRequest | undefined {
+  dequeue(now: number, serviceMs: number): QueuedRequest | undefined {
     let first: QueuedRequest | undefined;
     for (const waiting of this.#waiting) {
       if (!first || this.#goesBefore(waiting, first, now, serviceMs)) {
--- a/src/sidecar/gate/SlotTable.ts
+++ b/src/sidecar/gate/SlotTable.ts
@@ -90,12 +90,12 @@
   }
 
   /**
-   * Uses a grant and begins its run; undefined if there is no such unused grant.
+   * Redeems a grant and begins its run; undefined if there is no such unused grant.
    *
    * @param overdueMs time after which the run is overdue, ms
    * @param onOverdue called when the run is overdue; returns whether that counts against the target
    */
-  take(
+  redeem(
     grant: GrantId,
     overdueMs: (request: SlotRequest) => number,
     onOverdue: (since: number) => boolean,
--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -55,10 +55,10 @@
     for (const target of targets) {
       this.#retirePreviousIncarnation(target);
     }
-    const here = new Set(targets.map((t) => t.id));
+    const localIds = new Set(targets.map((t) => t.id));
     for (const [id, { gate }] of this.#gates) {
-      gate.targetChanged();
-      if (!here.has(id) && !gate.isBusy) {
+      gate.reevaluateQueue();
+      if (!localIds.has(id) && !gate.isBusy) {
         this.#gates.delete(id);
       }
     }
