--- a/src/sidecar/gate/SlotServer.ts
+++ b/src/sidecar/gate/SlotServer.ts
@@ -60,7 +60,7 @@
 /** A slot request that was received. */
 interface Entry {
   readonly request: SlotRequest;
-  readonly askedAt: number;
+  readonly receivedAt: number;
   /** The last message sent about it; undefined before the first one. */
   lastMessage: GateMessage | undefined;
   /** It was granted or refused. */
@@ -118,16 +118,16 @@
 
   #accept(key: string, request: SlotRequest, id: number, from: string): void {
     const { clock } = this.#deps;
-    const askedAt = clock.now();
-    this.#sweep(askedAt);
+    const receivedAt = clock.now();
+    this.#sweep(receivedAt);
     this.#subscribers.delete(from);
-    this.#subscribers.set(from, askedAt);
+    this.#subscribers.set(from, receivedAt);
     const entry: Entry = {
       request,
-      askedAt,
+      receivedAt,
       lastMessage: undefined,
       isSettled: false,
-      expiresAt: askedAt + request.remainingMs + RETENTION_MS,
+      expiresAt: receivedAt + request.remainingMs + RETENTION_MS,
       withdraw: () => undefined,
     };
     this.#entries.set(key, entry);
@@ -172,10 +172,10 @@
     return this.#deps.gates.get(target)?.isPending(grant) ?? false;
   }
 
-  #recordReply({ request, askedAt }: Entry, reply: SlotReply): void {
+  #recordReply({ request, receivedAt }: Entry, reply: SlotReply): void {
     const { metrics, clock, log } = this.#deps;
     if (reply.kind === "granted") {
-      metrics.waited(clock.now() - askedAt);
+      metrics.waited(clock.now() - receivedAt);
       return;
     }
     const { reason, load } = reply;
