--- a/src/sidecar/gate/TargetRunner.ts
+++ b/src/sidecar/gate/TargetRunner.ts
@@ -126,11 +126,11 @@
    */
   #detectorOutcome(
     { outcome }: ForwardResult,
-    here: ReturnType<ActiveRuns["begin"]>,
+    activeRun: ReturnType<ActiveRuns["begin"]>,
     names: { attempt: AttemptId; target: TargetId },
   ): AttemptOutcome {
     const isFailure = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.TimedOut;
-    const lostCall = isFailure ? here.takeLostCall() : undefined;
+    const lostCall = isFailure ? activeRun.takeLostCall() : undefined;
     if (!lostCall) {
       return outcome;
     }
