--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -22,7 +22,7 @@
   readonly endedAt: number;
 }
 
-/** A nested call, as known when it is made. */
+/** A request that is or may be a nested call, when it is made. */
 interface NestedCall {
   readonly route: string;
   readonly service: string;
