--- a/src/sidecar/gate/TargetGates.test.ts
+++ b/src/sidecar/gate/TargetGates.test.ts
@@ -64,17 +64,17 @@
     log,
   });
   const replies = new Map<string, SlotReply["kind"]>();
-  const grantOf = new Map<string, GrantId>();
+  const granted = new Map<string, GrantId>();
   const requestSlot = (attempt: string) =>
     gates.get(ID)?.requestSlot(makeSlotRequest({ attempt }), (reply) => {
       replies.set(attempt, reply.kind);
       if (reply.kind === "granted") {
-        grantOf.set(attempt, reply.grant);
+        granted.set(attempt, reply.grant);
       }
     });
   const run = (attempt: string) =>
     runner.run(
-      { attempt: AttemptId(attempt), target: ID, grant: grantOf.get(attempt) ?? GrantId("none") },
+      { attempt: AttemptId(attempt), target: ID, grant: granted.get(attempt) ?? GrantId("none") },
       () => ({}) as TargetRequest,
     );
   const restart = () => {
