--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -2,53 +2,54 @@
 import { CallsPerRun, type CallMeans } from "./CallsPerRun.ts";
 
 /**
- * A target that cannot do without a call fails its run this soon after the call's answer, ms: the answer has
- * to reach it, and its own the sidecar, both on one VM, with time for a pause of either process.
+ * Longest time between the end of a failed nested call and the failure of the run that depends on it, ms. The call's
+ * response has to reach the target and the target's own response the sidecar, both on one VM; the rest is margin for
+ * a pause of either process.
  */
-const AFTERMATH_MS = 100;
+const LOST_CALL_WINDOW_MS = 100;
 
 /**
- * How far back the share of idle time looks, ms. Over the whole life of a process a quiet start makes a busy target
- * look idle, and callers' requests, of which none meets it idle, like calls.
+ * Window over which the idle share is measured, ms. Measured since the start of the process, a quiet start would make
+ * a busy target look idle, and requests of callers, none of which arrives while it is idle, look like nested calls.
  */
 const IDLE_WINDOW_MS = 10_000;
 
-/** A call that a target made in the midst of its work, and that was not served. */
+/** A nested call that was not served. */
 interface LostCall {
   readonly route: string;
-  /** By the steady clock, ms. */
+  /** By the monotonic clock, ms. */
   readonly startedAt: number;
   readonly endedAt: number;
 }
 
-/** What is known of a call when it is made. */
-interface MadeCall {
+/** A request that is or may be a nested call, when it is made. */
+interface NestedCall {
   readonly route: string;
   readonly service: string;
-  /** Chance that it is a call, and not a caller's request. */
+  /** Probability that it is a nested call rather than a caller's request, 0 to 1. */
   readonly weight: number;
 }
 
-/** A run under way. */
+/** A run in progress. */
 interface Run {
-  /** It has ended. */
+  /** Marks the run as ended. */
   end(): void;
   /**
-   * The call whose loss explains that the run fails now: it was made after the run began, and has just
-   * ended. Each explains one run, and is not told again.
+   * Removes and returns a lost nested call that explains why the run fails now: one that was made after the run began
+   * and has just ended. Each lost call explains one run only.
    */
   takeLostCall(): LostCall | undefined;
 }
 
-/** The runs under way at the targets beside this sidecar, and the calls that these make. */
+/** Tracks the runs in progress at the local targets, and the nested calls that they make. */
 export class ActiveRuns {
   readonly #clock: Clock;
   readonly #startedAt: number;
   #count = 0;
-  /** Times with a run under way, ended within the window. */
-  #busy: { readonly from: number; readonly until: number }[] = [];
+  /** Periods with at least one run in progress that ended within the idle window. */
+  #busyPeriods: { readonly from: number; readonly until: number }[] = [];
   #busySince = 0;
-  /** When each call that waits for its answer was made. */
+  /** Nested calls that have no response yet. */
   readonly #openCalls = new Set<{ readonly startedAt: number }>();
   #lostCalls: LostCall[] = [];
   readonly #callsPerRun: CallsPerRun;
@@ -59,75 +60,75 @@
     this.#callsPerRun = new CallsPerRun(clock);
   }
 
-  /** How many there are. */
+  /** Number of runs in progress. */
   get count(): number {
     return this.#count;
   }
 
-  /** Calls that a run makes here, on average. */
+  /** Mean number of nested calls per run, by called service. */
   get callMeans(): CallMeans {
     return this.#callsPerRun.means;
   }
 
-  /** Share of the last seconds, as far as this process has been there, in which there was none. */
+  /** Share of the idle window, or of the shorter time since the start, without any run in progress, 0 to 1. */
   get idleShare(): number {
     const now = this.#clock.now();
     const from = Math.max(this.#startedAt, now - IDLE_WINDOW_MS);
-    this.#busy = this.#busy.filter((b) => b.until > from);
-    const under = this.#count > 0 ? [{ from: this.#busySince, until: now }] : [];
-    const busyMs = [...this.#busy, ...under].reduce(
+    this.#busyPeriods = this.#busyPeriods.filter((b) => b.until > from);
+    const ongoing = this.#count > 0 ? [{ from: this.#busySince, until: now }] : [];
+    const busyMs = [...this.#busyPeriods, ...ongoing].reduce(
       (sum, b) => sum + b.until - Math.max(from, b.from),
       0,
     );
     return now > from ? 1 - busyMs / (now - from) : 1;
   }
 
-  /** Notes that one begins. */
+  /** Records the start of a run. */
   begin(): Run {
     const startedAt = this.#clock.now();
     if (this.#count === 0) {
       this.#busySince = startedAt;
     }
     this.#count += 1;
-    this.#callsPerRun.noteRun();
+    this.#callsPerRun.recordRun();
     return {
       end: () => {
         this.#count -= 1;
         if (this.#count === 0) {
-          this.#busy.push({ from: this.#busySince, until: this.#clock.now() });
+          this.#busyPeriods.push({ from: this.#busySince, until: this.#clock.now() });
         }
       },
       takeLostCall: () => this.#takeLostCall(startedAt),
     };
   }
 
-  /** Notes that a call begins; returns what to call when it has ended. */
-  beginCall({ route, service, weight }: MadeCall): (wasServed: boolean) => void {
+  /** Records the start of a nested call; the returned function records its end. */
+  beginCall({ route, service, weight }: NestedCall): (wasServed: boolean) => void {
     const call = { startedAt: this.#clock.now() };
     this.#openCalls.add(call);
-    this.#callsPerRun.noteCall(service, weight);
+    this.#callsPerRun.recordCall(service, weight);
     return (wasServed) => {
       this.#openCalls.delete(call);
       if (!wasServed) {
-        this.#noteLostCall({ route, ...call, endedAt: this.#clock.now() });
+        this.#recordLostCall({ route, ...call, endedAt: this.#clock.now() });
       }
     };
   }
 
-  /** Whether a call made since `since` waits for its answer: a run that began then may be waiting with it. */
+  /** Whether a nested call made at or after `since` (ms) is open: a run that began then may be waiting for it. */
   hasOpenCall(since: number): boolean {
     return [...this.#openCalls].some((call) => call.startedAt >= since);
   }
 
-  #noteLostCall(call: LostCall): void {
-    const cutoff = this.#clock.now() - AFTERMATH_MS;
+  #recordLostCall(call: LostCall): void {
+    const cutoff = this.#clock.now() - LOST_CALL_WINDOW_MS;
     this.#lostCalls = this.#lostCalls.filter((c) => c.endedAt >= cutoff);
     this.#lostCalls.push(call);
   }
 
   #takeLostCall(startedAt: number): LostCall | undefined {
-    const cutoff = this.#clock.now() - AFTERMATH_MS;
-    const at = this.#lostCalls.findIndex((c) => c.startedAt >= startedAt && c.endedAt >= cutoff);
-    return at < 0 ? undefined : this.#lostCalls.splice(at, 1)[0];
+    const cutoff = this.#clock.now() - LOST_CALL_WINDOW_MS;
+    const index = this.#lostCalls.findIndex((c) => c.startedAt >= startedAt && c.endedAt >= cutoff);
+    return index < 0 ? undefined : this.#lostCalls.splice(index, 1)[0];
   }
 }
--- a/src/sidecar/gate/AdmissionQueue.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -5,19 +5,19 @@
 import { WaitEstimator } from "./WaitEstimator.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-type Reply = (reply: SlotReply) => void;
+type ReplyCallback = (reply: SlotReply) => void;
 
-/** An ask whose turn has come, and whoever waits for its answer; undefined where that has given up. */
-interface Turn {
+/** The slot request that is next in order, and its reply callback; without one if the request was withdrawn. */
+interface DequeuedRequest {
   readonly waiting: QueuedRequest;
-  readonly reply: Reply | undefined;
+  readonly reply: ReplyCallback | undefined;
 }
 
-/** The asks that stand in line at a gate, with those who wait for their answers. */
+/** The slot requests queued at a gate, with their reply callbacks and an estimate of their waits. */
 export class AdmissionQueue {
   readonly #queue: SlotRequestQueue;
   readonly #estimator = new WaitEstimator();
-  readonly #replies = new Map<QueuedRequest, Reply>();
+  readonly #replies = new Map<QueuedRequest, ReplyCallback>();
 
   constructor(order?: ConstructorParameters<typeof SlotRequestQueue>[0]) {
     this.#queue = new SlotRequestQueue(order);
@@ -27,20 +27,20 @@
     return this.#queue.length;
   }
 
-  add(waiting: QueuedRequest, reply: Reply): void {
+  add(waiting: QueuedRequest, reply: ReplyCallback): void {
     this.#queue.add(waiting);
     this.#replies.set(waiting, reply);
   }
 
-  /** Takes one out; false when it is not here any more. */
+  /** Removes a request; false if it is no longer queued. */
   remove(waiting: QueuedRequest): boolean {
     this.#replies.delete(waiting);
     return this.#queue.remove(waiting);
   }
 
-  /** Takes out the one whose turn it is, at `now`, when a request takes `serviceMs`. */
-  next(now: number, serviceMs: number): Turn | undefined {
-    const waiting = this.#queue.take(now, serviceMs);
+  /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
+  dequeue(now: number, serviceMs: number): DequeuedRequest | undefined {
+    const waiting = this.#queue.dequeue(now, serviceMs);
     if (!waiting) {
       return undefined;
     }
@@ -49,13 +49,13 @@
     return { waiting, reply };
   }
 
-  /** Takes out all that are to be refused, and tells those who wait for them. */
-  refuse(
+  /** Removes all requests for which `refusalOf` gives a reason, and replies to each with the refusal. */
+  refuseWhere(
     refusalOf: (waiting: QueuedRequest) => RefusalReason | undefined,
-    answer: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
+    makeReply: (reason: RefusalReason, waiting: QueuedRequest) => SlotReply,
   ): void {
     const reasons = new Map<QueuedRequest, RefusalReason>();
-    this.#queue.takeAll((waiting) => {
+    this.#queue.removeWhere((waiting) => {
       const reason = refusalOf(waiting);
       if (reason) {
         reasons.set(waiting, reason);
@@ -63,18 +63,18 @@
       return reason !== undefined;
     });
     for (const [waiting, reason] of reasons) {
-      this.#replies.get(waiting)?.(answer(reason, waiting));
+      this.#replies.get(waiting)?.(makeReply(reason, waiting));
       this.#replies.delete(waiting);
     }
   }
 
-  /** Notes that an ask was given a slot, in line or as it came. */
-  noteGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
+  /** Records that a slot was granted to a request, queued or newly received. */
+  recordGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
     const { isCall } = waiting.request;
-    this.#estimator.noteGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
+    this.#estimator.recordGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
   }
 
-  /** How long `waiting`, in line or about to join it, will wait from now on, ms. */
+  /** Estimated remaining wait of `waiting`, queued or about to be, ms. */
   waitMs(waiting: QueuedRequest, now: number, pace: { slots: number; serviceMs: number }): number {
     return this.#estimator.waitMs(waiting, this.#queue, now, pace);
   }
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -12,86 +12,90 @@
 import { SlotTable } from "./SlotTable.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** The target, as far as the gate needs to know it. */
+/** The properties of the target that the gate uses. */
 interface GatedTarget {
+  /** Number of requests that the target can run at once. */
   readonly slots: number;
-  /** Takes new work: ready, not leaving. */
+  /** Whether the target accepts new requests: it is ready and not leaving. */
   readonly takesWork: boolean;
 }
 
 interface GateDeps {
-  /** The target as it announced itself last; undefined when it is gone. */
+  /** The target as last announced; undefined if it is gone. */
   readonly target: () => GatedTarget | undefined;
   readonly detector: HealthDetector;
   readonly clock: Clock;
   readonly grants: Pick<GrantIds, "next">;
-  /** Whether a run that began at the time given may be waiting for a call of its own; left out, none makes any. */
+  /**
+   * Whether a run that began at `since` (ms) may be waiting for a nested call; if absent, runs make no nested calls.
+   */
   readonly waitsForCall?: (since: number) => boolean;
-  /** Told when the target is thought of otherwise: well, suspect or ejected. */
+  /** Called when the health state of the target changes: healthy, suspect or ejected. */
   readonly onJudged?: (load: GateLoad) => void;
-  /** Who goes first of those that wait; left out, the product's own order. */
+  /** Order in which queued requests are served; by default that of `goesBefore`. */
   readonly order?: ConstructorParameters<typeof AdmissionQueue>[0];
 }
 
 /**
- * A grant that nobody takes expires after this long, ms. A round trip takes 3; the
- * rest is for a sidecar on a slowed machine. The slot stands empty meanwhile.
+ * Time after which an unused grant expires, ms. A round trip takes 3 ms; the rest is margin for a sidecar on a slowed
+ * VM. The slot is idle meanwhile.
  */
-const GRANT_MS = 250;
+const GRANT_TTL_MS = 250;
 
-/** Scales the lease with the body size, so that a slow upload does not lose its slot and retry from the start. */
-const GRANT_BYTES_PER_MS = 100;
+/**
+ * Upload rate by which a grant is extended for the body, bytes/ms: a slow upload must not lose its slot and start
+ * over.
+ */
+const MIN_UPLOAD_BYTES_PER_MS = 100;
 
 /**
- * Waiting asks per slot, at most. Each request asks two or three gates, so half and
- * more of what waits here will be withdrawn; a queue of eight a slot is then two to
- * four requests deep, about the longest that still meets a deadline of ten times the
- * work time.
+ * Maximum number of queued requests per slot. A sidecar asks two or three gates for each request, so half or more of
+ * the queued requests will be withdrawn. Eight per slot thus amount to two to four runs per slot, about the longest
+ * queue that still meets a deadline of ten times the service time.
  */
-const QUEUE_PER_SLOT = 8;
+const MAX_QUEUED_PER_SLOT = 8;
 
-/** What waits is weighed again at most this often, ms. */
-const WEIGH_GAP_MS = 50;
+/** Least interval between two evaluations of the queue, ms. */
+const MIN_REEVALUATION_GAP_MS = 50;
 
-/** How often a gate that is being closed weighs what waits, ms. */
-const CLOSING_CHECK_MS = 100;
+/** Interval at which the queue is evaluated while the sidecar is being stopped, ms. */
+const SHUTDOWN_REEVALUATION_MS = 100;
 
 /**
- * A run that takes this many times its usual time is evidence against the target
- * while it lasts: one that hangs would otherwise be noticed at its deadline only.
+ * Multiple of its typical time after which a run is overdue, which counts against the target while the run is still
+ * in progress: a run that hangs would otherwise be noticed only at its deadline.
  */
 const OVERDUE_FACTOR = 3;
 
-/** Weight of the newest request in the average service time: about the last ten count. */
-const SERVICE_WEIGHT = 0.1;
+/** Smoothing factor of the mean service time, an exponential moving average over about the last ten runs. */
+const SERVICE_TIME_SMOOTHING = 0.1;
 
-/** Assumed service time before any request has run, ms. */
-const FIRST_SERVICE_MS = 300;
+/** Mean service time assumed before any request has run, ms. */
+const INITIAL_SERVICE_MS = 300;
 
-/** An ask being weighed, which whoever asked may take back. */
-interface Ticket {
-  /** True while it waits for a slot. */
+/** A slot request in progress, which its sender can withdraw. */
+interface SlotRequestHandle {
+  /** Whether the request was queued rather than granted or refused at once. */
   readonly queued: boolean;
-  /** Takes the ask, or a grant not taken yet, back. */
+  /** Removes the request from the queue, or revokes its grant if that is unused. */
   withdraw(): void;
 }
 
 /**
- * Admission to one target beside this sidecar. The sidecar is the only way in, so
- * it knows exactly which slots are free: requests wait here, where they can be put in
- * order and taken back, and not in the target's own queue. What cannot be served in
- * time is refused at once, so that another target can be asked.
+ * Controls admission to one local target. All requests reach the target through this sidecar, so it knows exactly
+ * which slots are free: requests wait here, where they can be ordered and withdrawn, rather than in the target's own
+ * queue. A request that cannot be served in time is refused at once, so that its sender can try another target.
  */
 export class Gate {
   readonly #deps: GateDeps;
   readonly #queue: AdmissionQueue;
   readonly #slots: SlotTable;
-  readonly #life = new AbortController();
-  #weighedAt = -Infinity;
-  #serviceMs = FIRST_SERVICE_MS;
+  readonly #retired = new AbortController();
+  #reevaluatedAt = -Infinity;
+  #serviceMs = INITIAL_SERVICE_MS;
   #closed = false;
-  /** When the sidecar ends, by the gate's clock, ms; runs are to be over by then. */
-  #endAt = Infinity;
+  /** When the sidecar exits, by the gate's clock, ms; runs have to end before. */
+  #shutdownAt = Infinity;
 
   constructor(deps: GateDeps) {
     this.#deps = deps;
@@ -99,7 +103,7 @@
     this.#slots = new SlotTable(deps.clock);
   }
 
-  /** How busy the target is. */
+  /** Current load and health of the target. */
   get load(): GateLoad {
     const { detector } = this.#deps;
     return {
@@ -112,34 +116,37 @@
       suspect: detector.isSuspect,
       ejected: detector.isEjected,
       probeInMs: detector.probeInMs(this.#slots.probes),
-      endsInMs: this.#endAt < Infinity ? this.#endAt - this.#deps.clock.now() : undefined,
+      endsInMs: this.#shutdownAt < Infinity ? this.#shutdownAt - this.#deps.clock.now() : undefined,
     };
   }
 
-  /** Weighs an ask; `reply` is called once, at once or when a slot is free. */
-  requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): Ticket {
+  /**
+   * Handles a slot request; `reply` is called once, either immediately or when the request is granted or refused
+   * later.
+   */
+  requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): SlotRequestHandle {
     const waiting = { request, askedAt: this.#deps.clock.now() };
     let grant: GrantId | undefined;
-    const answer = (said: SlotReply) => {
-      grant = said.kind === "granted" ? said.grant : undefined;
-      reply(said);
+    const onReply = (slotReply: SlotReply) => {
+      grant = slotReply.kind === "granted" ? slotReply.grant : undefined;
+      reply(slotReply);
     };
     const revoke = () => {
       if (grant !== undefined) {
         this.revoke(grant);
       }
     };
-    const refusal = this.#refusalOf(waiting) ?? this.#refusalOfNewcomer(request);
+    const refusal = this.#refusalReason(waiting) ?? this.#refusalReasonOnArrival(request);
     if (refusal !== undefined) {
-      answer(this.#refuse(refusal, waiting));
+      onReply(this.#refuse(refusal, waiting));
       return { queued: false, withdraw: () => undefined };
     }
-    if (this.#isIdle) {
-      this.#queue.noteGrant(waiting, waiting.askedAt, this.#serviceMs);
-      this.#grant(request, answer);
+    if (this.#hasIdleSlot) {
+      this.#queue.recordGrant(waiting, waiting.askedAt, this.#serviceMs);
+      this.#grant(request, onReply);
       return { queued: false, withdraw: revoke };
     }
-    this.#queue.add(waiting, answer);
+    this.#queue.add(waiting, onReply);
     return {
       queued: true,
       withdraw: () => {
@@ -150,154 +157,159 @@
     };
   }
 
-  /** Keeps a grant while the body of its request is on its way here; false when the grant has expired. */
+  /** Keeps a grant while the body of its request is being received; false if the grant has expired. */
   hold(grant: GrantId): boolean {
     return this.#slots.hold(grant, () => {
       this.revoke(grant);
     });
   }
 
-  /** Begins the run that a grant was given for; undefined when the grant has expired. */
+  /** Uses a grant and begins its run; undefined if the grant has expired. */
   take(grant: GrantId): SlotRequest | undefined {
-    return this.#slots.take(
+    return this.#slots.redeem(
       grant,
-      (request) => this.#usualMs(request) * OVERDUE_FACTOR,
-      (since) => this.#noteOverdue(since),
+      (request) => this.#typicalRunMs(request) * OVERDUE_FACTOR,
+      (since) => this.#reportOverdue(since),
     );
   }
 
-  /** Tells the detector of a run that takes far longer than usual; false where the time is that of a target which it called. */
-  #noteOverdue(since: number): boolean {
+  /**
+   * Reports an overdue run to the detector; false if the run may be waiting for a nested call, which is not held
+   * against it.
+   */
+  #reportOverdue(since: number): boolean {
     if (this.#deps.waitsForCall?.(since)) {
       return false;
     }
-    this.#tellJudge(() => {
+    this.#updateDetector(() => {
       this.#deps.detector.noteOverdue(this.#deps.clock.now() - since);
     });
     return true;
   }
 
-  /** Ends a run, and gives its slot to the next. */
+  /** Ends a run and passes its slot on. */
   end(grant: GrantId, outcome: AttemptOutcome): void {
     const ended = this.#slots.end(grant);
     if (!ended) {
       return;
     }
     const { request, ms, wasOverdue } = ended;
-    // One that was overdue, and then ran out of time, is one observation.
+    // A run that was overdue and then timed out counts as a single observation.
     if (!(wasOverdue && outcome === AttemptOutcome.TimedOut)) {
-      this.#tellJudge(() => {
+      this.#updateDetector(() => {
         this.#deps.detector.note(outcome, ms, request.typicalMs);
       });
     }
-    this.#noteServiceMs(ms);
-    this.#serveNext();
-    this.#weighLine();
+    this.#updateServiceMs(ms);
+    this.#grantFreeSlots();
+    this.#refuseUnservable();
   }
 
-  /** Where the detector thinks otherwise of the target now, what waits for it is weighed again. */
-  #tellJudge(tell: () => void): void {
-    const before = this.#standing;
-    tell();
-    if (this.#standing !== before) {
-      this.targetChanged();
+  /** Updates the detector, and evaluates the queue again if the health state of the target has changed. */
+  #updateDetector(update: () => void): void {
+    const before = this.#health;
+    update();
+    if (this.#health !== before) {
+      this.reevaluateQueue();
       this.#deps.onJudged?.(this.load);
     }
   }
 
-  /** Whether a slot is granted that has not been taken yet. */
-  isOpen(grant: GrantId): boolean {
-    return this.#slots.isOpen(grant);
+  /** Whether a grant is neither used nor expired. */
+  isPending(grant: GrantId): boolean {
+    return this.#slots.isPending(grant);
   }
 
-  /** True while a slot is granted or in use. */
+  /** Whether any slot is granted or in use. */
   get isBusy(): boolean {
     return this.#slots.size > 0;
   }
 
-  get #standing(): "ejected" | "suspect" | "well" {
+  get #health(): "ejected" | "suspect" | "well" {
     const { detector } = this.#deps;
     return detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well";
   }
 
-  /** Looks again at what waits: the target has changed, come, or is leaving, or is thought of otherwise. */
-  targetChanged(): void {
-    this.#weighedAt = -Infinity;
-    this.#weighLine();
-    this.#serveNext();
+  /** Evaluates the queue again: the target or its health state has changed, or it has appeared or is leaving. */
+  reevaluateQueue(): void {
+    this.#reevaluatedAt = -Infinity;
+    this.#refuseUnservable();
+    this.#grantFreeSlots();
   }
 
   /**
-   * Refuses what stands in line and cannot be served here any more, so that it can go
-   * elsewhere or be told so, instead of being held until its time is up.
+   * Refuses queued requests that can no longer be served here, so that they can be sent to another target, or their
+   * callers get an error, instead of being held until their deadlines.
    */
-  #weighLine(): void {
+  #refuseUnservable(): void {
     const now = this.#deps.clock.now();
-    if (this.#queue.length === 0 || now - this.#weighedAt < WEIGH_GAP_MS) {
+    if (this.#queue.length === 0 || now - this.#reevaluatedAt < MIN_REEVALUATION_GAP_MS) {
       return;
     }
-    this.#weighedAt = now;
-    this.#queue.refuse(
-      (waiting) => this.#refusalOf(waiting),
+    this.#reevaluatedAt = now;
+    this.#queue.refuseWhere(
+      (waiting) => this.#refusalReason(waiting),
       (reason, waiting) => this.#refuse(reason, waiting),
     );
   }
 
   /**
-   * This sidecar is being stopped, and ends at `endAt` by its clock, ms: asks are granted for as long as
-   * their runs will be over by then. A stopping sidecar lives on for seconds for the sake of its callers; shut from the
-   * signal on, sound targets stand idle in a rolling stop while others have no room for what comes.
+   * Announces that this sidecar exits at `endAt` (ms, by the gate's clock): from now on a slot is granted only if its
+   * run is expected to end before. A stopping sidecar keeps running for seconds to serve its callers. If its gates
+   * closed at the signal, healthy targets would be idle during a rolling restart while the others lack capacity.
    */
   closeBy(endAt: number): void {
-    this.#endAt = endAt;
-    this.targetChanged();
+    this.#shutdownAt = endAt;
+    this.reevaluateQueue();
     this.#deps.onJudged?.(this.load);
-    this.#weighUntilClosed();
+    this.#reevaluateUntilShutdown();
   }
 
-  /** What waits is weighed again as the end comes nearer, also while no run ends. */
-  #weighUntilClosed(): void {
-    if (!this.#closed && this.#deps.clock.now() < this.#endAt) {
-      this.#weighLine();
-      this.#deps.clock.after(CLOSING_CHECK_MS, () => {
-        this.#weighUntilClosed();
+  /** Evaluates the queue periodically until the sidecar exits, also while no run ends. */
+  #reevaluateUntilShutdown(): void {
+    if (!this.#closed && this.#deps.clock.now() < this.#shutdownAt) {
+      this.#refuseUnservable();
+      this.#deps.clock.after(SHUTDOWN_REEVALUATION_MS, () => {
+        this.#reevaluateUntilShutdown();
       });
     }
   }
 
-  /** Takes no more asks. Runs under way go on. */
+  /** Refuses all further slot requests and the queued ones. Runs in progress continue. */
   close(): void {
     this.#closed = true;
-    this.targetChanged();
+    this.reevaluateQueue();
   }
 
-  /** Aborted once the life of the target that this gate leads to has ended: see {@link retire}. */
-  get life(): AbortSignal {
-    return this.#life.signal;
+  /** Aborted when the gate's incarnation of the target has ended: see {@link retire}. */
+  get retired(): AbortSignal {
+    return this.#retired.signal;
   }
 
-  /** The target has started again, and another gate leads to its new life: what is here is at an end. */
+  /**
+   * Closes the gate and aborts its runs, as the target has restarted and its new incarnation has a gate of its own.
+   */
   retire(): void {
     this.close();
-    this.#life.abort();
+    this.#retired.abort();
   }
 
   get #freeSlots(): number {
     return (this.#deps.target()?.slots ?? 0) - this.#slots.size;
   }
 
-  /** Why an ask cannot join the line; undefined when it can. */
-  #refusalOfNewcomer({ attempt }: SlotRequest): RefusalReason | undefined {
+  /** Why a new request cannot be queued; undefined if it can. */
+  #refusalReasonOnArrival({ attempt }: SlotRequest): RefusalReason | undefined {
     if (this.#slots.has(attempt)) {
       return RefusalReason.Duplicate;
     }
     const slots = this.#deps.target()?.slots ?? 0;
-    const hasNoRoom = this.#queue.length >= QUEUE_PER_SLOT * slots;
-    return !this.#isIdle && hasNoRoom ? RefusalReason.Full : undefined;
+    const isQueueFull = this.#queue.length >= MAX_QUEUED_PER_SLOT * slots;
+    return !this.#hasIdleSlot && isQueueFull ? RefusalReason.Full : undefined;
   }
 
-  /** Why an ask, in line or about to join it, cannot be granted, now or by waiting; undefined when it can. */
-  #refusalOf(waiting: QueuedRequest): RefusalReason | undefined {
+  /** Why a request, queued or new, cannot be granted now or later; undefined if it can. */
+  #refusalReason(waiting: QueuedRequest): RefusalReason | undefined {
     const { request, askedAt } = waiting;
     const target = this.#deps.target();
     if (!target) {
@@ -306,7 +318,8 @@
     const now = this.#deps.clock.now();
     const remainingMs = request.remainingMs - (now - askedAt);
     const waitMs = this.#waitMs(waiting);
-    const endsTooSoon = now + waitMs + this.#roomMs({ ...request, remainingMs }) > this.#endAt;
+    const endsTooSoon =
+      now + waitMs + this.#runAllowanceMs({ ...request, remainingMs }) > this.#shutdownAt;
     if (this.#closed || !target.takesWork || endsTooSoon) {
       return RefusalReason.Leaving;
     }
@@ -316,24 +329,27 @@
     return waitMs > 0 && waitMs + this.#serviceMs > remainingMs ? RefusalReason.Full : undefined;
   }
 
-  /** Time that a run of the request should be given before this sidecar ends, ms; by its deadline it is over. */
-  #roomMs(request: SlotRequest): number {
-    return Math.min(request.remainingMs, runRoomMs(this.#usualMs(request), request.isExpendable));
+  /** Time to reserve for a run before this sidecar exits, ms; at most until its deadline, when it ends anyway. */
+  #runAllowanceMs(request: SlotRequest): number {
+    return Math.min(
+      request.remainingMs,
+      runRoomMs(this.#typicalRunMs(request), request.isExpendable),
+    );
   }
 
-  /** What a request usually takes, ms. */
-  #usualMs({ typicalMs }: SlotRequest): number {
+  /** Typical time of a run of the request, or the mean service time if that is unknown, ms. */
+  #typicalRunMs({ typicalMs }: SlotRequest): number {
     return typicalMs > 0 ? typicalMs : this.#serviceMs;
   }
 
-  /** A slot is free, and nobody waits for it. */
-  get #isIdle(): boolean {
+  /** Whether a slot is free and no request is queued. */
+  get #hasIdleSlot(): boolean {
     return this.#freeSlots > 0 && this.#queue.length === 0;
   }
 
-  /** How long an ask will wait for a slot from now on, ms. */
+  /** Estimated remaining wait for a slot, ms. */
   #waitMs(waiting: QueuedRequest): number {
-    if (this.#isIdle) {
+    if (this.#hasIdleSlot) {
       return 0;
     }
     const pace = { slots: this.#deps.target()?.slots ?? 1, serviceMs: this.#serviceMs };
@@ -353,52 +369,52 @@
     const { grants, detector } = this.#deps;
     const grant = grants.next();
     const isProbe = detector.isSuspect && detector.risk > request.acceptsRisk;
-    const grantMs = GRANT_MS + request.bodyBytes / GRANT_BYTES_PER_MS;
+    const grantMs = GRANT_TTL_MS + request.bodyBytes / MIN_UPLOAD_BYTES_PER_MS;
     this.#slots.grant(grant, request, isProbe, grantMs, () => {
       this.revoke(grant);
     });
     reply({ kind: "granted", grant, load: this.load });
   }
 
-  /** Takes back a grant that was not taken; true when there was one. */
+  /** Revokes an unused grant; false if there is none. */
   revoke(grant: GrantId): boolean {
     const wasGranted = this.#slots.revoke(grant);
     if (wasGranted) {
-      this.#serveNext();
+      this.#grantFreeSlots();
     }
     return wasGranted;
   }
 
-  /** Gives free slots to those whose turn it is. */
-  #serveNext(): void {
+  /** Grants the free slots to queued requests, in order. */
+  #grantFreeSlots(): void {
     while (this.#freeSlots > 0) {
-      const turn = this.#queue.next(this.#deps.clock.now(), this.#serviceMs);
-      if (!turn) {
+      const dequeued = this.#queue.dequeue(this.#deps.clock.now(), this.#serviceMs);
+      if (!dequeued) {
         return;
       }
-      this.#giveTurn(turn);
+      this.#grantOrRefuse(dequeued);
     }
   }
 
-  /** Grants a slot to the ask whose turn it is, unless it is of no use to it any more. */
-  #giveTurn({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["next"]>>): void {
+  /** Grants a slot to a dequeued request, or refuses it if it can no longer be served. */
+  #grantOrRefuse({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["dequeue"]>>): void {
     const now = this.#deps.clock.now();
     const remainingMs = waiting.request.remainingMs - (now - waiting.askedAt);
-    const left = { ...waiting.request, remainingMs };
+    const current = { ...waiting.request, remainingMs };
     if (!reply || remainingMs <= 0) {
-      return; // Whoever asked has given up by its own clock.
+      return; // The sender has given up by its own clock.
     }
-    if (now + this.#roomMs(left) > this.#endAt) {
+    if (now + this.#runAllowanceMs(current) > this.#shutdownAt) {
       reply(this.#refuse(RefusalReason.Leaving, waiting));
-    } else if (!this.#deps.detector.admits(left, this.#slots.probes)) {
+    } else if (!this.#deps.detector.admits(current, this.#slots.probes)) {
       reply(this.#refuse(RefusalReason.Suspect, waiting));
     } else {
-      this.#queue.noteGrant(waiting, now, this.#serviceMs);
-      this.#grant(left, reply);
+      this.#queue.recordGrant(waiting, now, this.#serviceMs);
+      this.#grant(current, reply);
     }
   }
 
-  #noteServiceMs(ms: number): void {
-    this.#serviceMs += SERVICE_WEIGHT * (ms - this.#serviceMs);
+  #updateServiceMs(ms: number): void {
+    this.#serviceMs += SERVICE_TIME_SMOOTHING * (ms - this.#serviceMs);
   }
 }
--- a/src/sidecar/gate/GateServer.ts
+++ b/src/sidecar/gate/GateServer.ts
@@ -17,23 +17,27 @@
 import type { TargetRequest } from "../forwarding/TargetRequest.ts";
 import { HOP } from "../hop/HOP.ts";
 import { hopResponse } from "../hop/hopResponse.ts";
-import type { GrantName, TargetRunner } from "./TargetRunner.ts";
+import type { GrantRef, TargetRunner } from "./TargetRunner.ts";
 import { unknownOutcome } from "./unknownOutcome.ts";
 
-/** How often a sidecar that waits hears that its request is alive, ms; silence for three of these is suspicious. */
-const ALIVE_MS = 300;
+/**
+ * Interval at which a waiting sidecar is signalled that its request is alive, ms; it suspects a lost connection after
+ * three without a signal.
+ */
+const ALIVE_INTERVAL_MS = 300;
 
-/** Connections from other sidecars are kept this long without use, ms. */
+/** How long an idle connection from another sidecar is kept open, ms. */
 const KEEP_ALIVE_MS = 30_000;
 
 /**
- * The sidecar that took the request from its caller has held its body against the document's limit. A
- * small one is taken whole here too: a target is not left with half of it when that sidecar ends.
+ * Limits on request bodies, bytes. There is no maximum size, as the sending sidecar has already enforced the
+ * configured limit. A small body is buffered before the run, so that the target does not get half of it if that
+ * sidecar exits.
  */
-const BODY = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
+const BODY_LIMITS = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
 
-/** Headers of ours; they end at this hop. */
-const OWN_HEADERS = new Set<string>(Object.values(HOP));
+/** Headers used between sidecars, which are not passed to the target. */
+const HOP_HEADERS = new Set<string>(Object.values(HOP));
 
 interface GateServerDeps {
   readonly runner: Pick<TargetRunner, "hold" | "release" | "run" | "outcomeOf" | "state">;
@@ -43,9 +47,9 @@
 }
 
 /**
- * The way in to the targets beside this sidecar, for other sidecars and for this one:
- * for requests that were granted a slot, and those that come back for an answer whose
- * connection was lost. Slots are asked for by datagrams, see {@link SlotServer}.
+ * HTTP server through which all sidecars, this one included, send requests to the local targets. It accepts requests
+ * that hold a grant, and requests that reattach to a run after their connection was lost. Slots are requested by
+ * datagrams, see {@link SlotServer}.
  */
 export class GateServer {
   readonly #deps: GateServerDeps;
@@ -57,8 +61,8 @@
       { keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 },
       (req, res) => {
         this.#route(req, res).catch((err: unknown) => {
-          // The other sidecar broke off: only this request may suffer.
-          deps.log.debug({ err, url: req.url }, "hop request abandoned");
+          // The other sidecar closed the connection; this affects no other request.
+          deps.log.debug({ err, url: req.url }, "request from sidecar aborted");
           res.destroy();
         });
       },
@@ -67,7 +71,7 @@
 
   async #route(req: IncomingMessage, res: ServerResponse): Promise<void> {
     if (req.url === HOP.joinPath && req.headers[HOP.grant] !== undefined) {
-      await this.#join(req, res);
+      await this.#reattach(req, res);
     } else if (req.headers[HOP.attempt] !== undefined) {
       await this.#run(req, res);
     } else {
@@ -76,52 +80,55 @@
   }
 
   async #run(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    const grant = grantOf(req);
-    const left = new AbortController();
+    const grant = readGrant(req);
+    const callerGone = new AbortController();
     res.once("close", () => {
       if (!res.writableFinished) {
-        left.abort();
+        callerGone.abort();
       }
     });
     const { runner, clock, log } = this.#deps;
     const arrivedAt = clock.now();
-    const alive = new AliveSignal(res, clock);
-    // From its head on: whoever waits would take a body that is long on its way for a lost connection.
-    alive.start();
+    const aliveSignal = new AliveSignal(res, clock);
+    // Signalling starts with the head: during a long upload the sender would otherwise assume a lost connection.
+    aliveSignal.start();
     if (!runner.hold(grant)) {
       req.resume();
-      const known = await runner.outcomeOf(grant);
-      alive.stop();
-      log.info({ ...grant, verdict: known.verdict, outcome: known.outcome }, "grant not usable");
-      this.#answer(res, known);
+      const result = await runner.outcomeOf(grant);
+      aliveSignal.stop();
+      log.info(
+        { ...grant, verdict: result.verdict, outcome: result.outcome },
+        "grant cannot be used",
+      );
+      this.#respond(res, result);
       return;
     }
-    const opened = await openBody(req, BODY).catch((err: unknown) => {
-      alive.stop();
+    const opened = await openBody(req, BODY_LIMITS).catch((err: unknown) => {
+      aliveSignal.stop();
       runner.release(grant);
       throw err;
     });
     const body = "body" in opened ? opened.body : undefined;
     const startedAt = clock.now();
     const span = this.#deps.tracing.begin("sidecar.run", req.headers);
-    const out = await runner.run(grant, () => ({
-      ...this.#request(req, grant, { arrivedAt, left: left.signal }),
-      headers: withHeaders(ownHeadersOff(req.rawHeaders), span.headers),
+    const result = await runner.run(grant, () => ({
+      ...this.#request(req, grant, { arrivedAt, callerGone: callerGone.signal }),
+      headers: withHeaders(withoutHopHeaders(req.rawHeaders), span.headers),
       body,
       bodyLength: opened.kind === "stream" ? opened.length : undefined,
     }));
-    alive.stop();
+    aliveSignal.stop();
     const ms = Math.round(clock.now() - startedAt);
-    const ended = { ...grant, verdict: out.verdict, outcome: out.outcome, ms };
+    const ended = { ...grant, verdict: result.verdict, outcome: result.outcome, ms };
     log.info(ended, "run ended");
-    span.end(out.verdict.kind, out.verdict.kind === "done");
-    this.#answer(res, out);
+    span.end(result.verdict.kind, result.verdict.kind === "done");
+    this.#respond(res, result);
   }
 
   #request(
     req: IncomingMessage,
-    { attempt, target }: GrantName,
-    { arrivedAt, left }: { arrivedAt: number; left: AbortSignal },
+    { attempt, target }: GrantRef,
+    { arrivedAt, callerGone }: { arrivedAt: number; callerGone: AbortSignal },
   ): Omit<TargetRequest, "body" | "headers"> {
     const { headers } = req;
     const idempotent = headers[HOP.idempotent] === "1";
@@ -135,87 +142,87 @@
         callerService: ServiceName(String(headers[HOP.caller] ?? "")),
         echoHeader: typeof echo === "string" ? echo : undefined,
       },
-      // From when the head came: the body's way here is part of the time that is left.
+      // Counted from the arrival of the head: the upload of the body is part of the remaining time.
       deadlineAt: arrivedAt + Number(headers[HOP.remaining]),
       idempotent,
-      // Work that must not repeat runs to its end even when its caller leaves: cutting
-      // it off would only leave its outcome unknown.
-      cancelled: idempotent ? left : undefined,
+      // A run that must not be repeated goes on when its caller disconnects: aborting it would only leave its
+      // outcome unknown.
+      cancelled: idempotent ? callerGone : undefined,
       wholeAnswer: !idempotent,
     };
   }
 
-  async #join(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #reattach(req: IncomingMessage, res: ServerResponse): Promise<void> {
     req.resume();
-    const grant = grantOf(req);
+    const grant = readGrant(req);
     const state = this.#deps.runner.state(grant);
     const { target } = grant;
-    this.#deps.log.info({ ...grant, state: state.kind }, "result requested again");
+    this.#deps.log.info({ ...grant, state: state.kind }, "sender reattached to run");
     switch (state.kind) {
       case "running": {
-        const alive = new AliveSignal(res, this.#deps.clock);
-        alive.start();
-        const out = await state.result;
-        alive.stop();
-        this.#answer(res, out);
+        const aliveSignal = new AliveSignal(res, this.#deps.clock);
+        aliveSignal.start();
+        const result = await state.result;
+        aliveSignal.stop();
+        this.#respond(res, result);
         return;
       }
       case "ended":
-        this.#answer(res, state.result);
+        this.#respond(res, state.result);
         return;
       case "forgotten":
       case "unknown":
-        this.#answer(res, unknownOutcome(target));
+        this.#respond(res, unknownOutcome(target));
     }
   }
 
-  #answer(res: ServerResponse, out: ForwardResult): void {
+  #respond(res: ServerResponse, result: ForwardResult): void {
     if (res.destroyed) {
       return;
     }
-    const own = hopResponse.headersOf(out);
-    if (!("body" in out)) {
-      res.writeHead(200, { ...own, "content-length": 0 });
+    const hopHeaders = hopResponse.headersOf(result);
+    if (!("body" in result)) {
+      res.writeHead(200, { ...hopHeaders, "content-length": 0 });
       res.end();
       return;
     }
-    const { body, headers } = out;
-    for (const [name, value] of Object.entries({ ...answerHeaders(headers), ...own })) {
+    const { body, headers } = result;
+    for (const [name, value] of Object.entries({ ...endToEndHeaders(headers), ...hopHeaders })) {
       if (value !== undefined) {
         res.setHeader(name, value);
       }
     }
-    res.statusCode = out.verdict.status;
+    res.statusCode = result.verdict.status;
     if (Buffer.isBuffer(body)) {
-      res.setHeader("content-length", lengthOf(res, headers, body));
+      res.setHeader("content-length", contentLength(res, headers, body));
       res.end(body);
     } else {
-      // On a body cut short by the target, pipeline destroys this connection too, so
-      // that the other sidecar sees that it is incomplete.
+      // If the target cuts its body short, pipeline destroys this connection too, so that the other sidecar sees an
+      // incomplete response.
       pipeline(body, res, (err) => {
         if (err) {
           const attempt = res.req.headers[HOP.attempt];
-          this.#deps.log.info({ attempt, err: err.message }, "streamed answer cut short");
+          this.#deps.log.info({ attempt, err: err.message }, "streamed response cut short");
         }
       });
     }
   }
 }
 
-function grantOf(req: IncomingMessage): GrantName {
-  const text = (name: string) => String(req.headers[name] ?? "");
+function readGrant(req: IncomingMessage): GrantRef {
+  const header = (name: string) => String(req.headers[name] ?? "");
   return {
-    attempt: AttemptId(text(HOP.attempt)),
-    target: TargetId(text(HOP.target)),
-    grant: GrantId(text(HOP.grant)),
+    attempt: AttemptId(header(HOP.attempt)),
+    target: TargetId(header(HOP.target)),
+    grant: GrantId(header(HOP.grant)),
   };
 }
 
-function ownHeadersOff(headers: HeaderList): HeaderList {
-  return endToEnd(headers, (name) => OWN_HEADERS.has(name));
+function withoutHopHeaders(headers: HeaderList): HeaderList {
+  return endToEnd(headers, (name) => HOP_HEADERS.has(name));
 }
 
-/** Tells the other side, while it waits, that its request is alive here (status 102, RFC 2518). */
+/** Signals a waiting sidecar periodically that its request is alive (status 102, RFC 2518). */
 class AliveSignal {
   readonly #res: ServerResponse;
   readonly #clock: Clock;
@@ -226,13 +233,13 @@
     this.#clock = clock;
   }
 
-  /** Signals now and again until stopped. */
+  /** Sends a signal now and then every {@link ALIVE_INTERVAL_MS} until stopped. */
   start(): void {
     if (this.#res.destroyed || this.#res.headersSent) {
       return;
     }
     this.#res.writeProcessing();
-    this.#timer = this.#clock.after(ALIVE_MS, () => {
+    this.#timer = this.#clock.after(ALIVE_INTERVAL_MS, () => {
       this.start();
     });
   }
@@ -243,8 +250,8 @@
   }
 }
 
-/** The target's headers but for those of its connection. */
-function answerHeaders(
+/** The target's response headers without the hop-by-hop ones. */
+function endToEndHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[] | undefined> {
   const list = Object.keys(headers).flatMap((name) => [name, ""]);
@@ -252,8 +259,8 @@
   return Object.fromEntries(Object.entries(headers).filter(([name]) => kept.has(name)));
 }
 
-/** A HEAD answer keeps the length that the target gave; any other has its body's. */
-function lengthOf(
+/** Content length, bytes: for a HEAD request the one that the target declared, otherwise the body's size. */
+function contentLength(
   res: ServerResponse,
   headers: Readonly<Record<string, string | string[] | undefined>>,
   body: Buffer,
--- a/src/sidecar/gate/SlotRequestQueue.ts
+++ b/src/sidecar/gate/SlotRequestQueue.ts
@@ -2,15 +2,15 @@
 import { isLate } from "./isLate.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
-/** Whether the first goes before the second, at a time (ms), when a request takes so long (ms). */
-type AskOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
+/** Whether `a` is served before `b` at `now` (ms), given the mean service time (ms). */
+type QueueOrder = (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
 
-/** Asks waiting for a slot at one target, taken in the order that `goesBefore` gives. */
+/** Slot requests that wait for one target, served in the order of {@link goesBefore} unless another is given. */
 export class SlotRequestQueue {
   readonly #waiting: QueuedRequest[] = [];
-  readonly #goesBefore: AskOrder;
+  readonly #goesBefore: QueueOrder;
 
-  constructor(order: AskOrder = goesBefore) {
+  constructor(order: QueueOrder = goesBefore) {
     this.#goesBefore = order;
   }
 
@@ -22,18 +22,18 @@
     this.#waiting.push(waiting);
   }
 
-  /** Takes one back; false when it is not here any more. */
+  /** Removes a request; false if it is no longer queued. */
   remove(waiting: QueuedRequest): boolean {
-    const at = this.#waiting.indexOf(waiting);
-    if (at < 0) {
+    const index = this.#waiting.indexOf(waiting);
+    if (index < 0) {
       return false;
     }
-    this.#waiting.splice(at, 1);
+    this.#waiting.splice(index, 1);
     return true;
   }
 
-  /** Takes the one whose turn it is, at `now`, when a request takes `serviceMs`. */
-  take(now: number, serviceMs: number): QueuedRequest | undefined {
+  /** Removes and returns the request to be served next at `now` (ms), given the mean service time `serviceMs`. */
+  dequeue(now: number, serviceMs: number): QueuedRequest | undefined {
     let first: QueuedRequest | undefined;
     for (const waiting of this.#waiting) {
       if (!first || this.#goesBefore(waiting, first, now, serviceMs)) {
@@ -46,22 +46,22 @@
     return first;
   }
 
-  /** Those that go before `waiting`, whether it is here or would join now. */
+  /** Requests to be served before `waiting`, which may be queued already or not. */
   ahead(waiting: QueuedRequest, now: number, serviceMs: number): QueuedRequest[] {
     return this.#waiting.filter(
       (w) => w !== waiting && !this.#goesBefore(waiting, w, now, serviceMs),
     );
   }
 
-  /** How many cannot meet their objective any more. */
+  /** Number of requests that can no longer meet their latency objective. */
   countLate(now: number, serviceMs: number): number {
     return this.#waiting.filter((w) => isLate(w, now, serviceMs)).length;
   }
 
-  /** Removes and returns all that `isDue` picks. */
-  takeAll(isDue: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
-    const due = this.#waiting.filter(isDue);
-    due.forEach((w) => this.remove(w));
-    return due;
+  /** Removes and returns all requests that `shouldRemove` selects. */
+  removeWhere(shouldRemove: (waiting: QueuedRequest) => boolean): QueuedRequest[] {
+    const removed = this.#waiting.filter(shouldRemove);
+    removed.forEach((w) => this.remove(w));
+    return removed;
   }
 }
--- a/src/sidecar/gate/SlotTable.ts
+++ b/src/sidecar/gate/SlotTable.ts
@@ -4,60 +4,60 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { SlotRequest } from "../hop/SlotRequest.ts";
 
-/** What holds a slot: a grant that is to be taken, or a run. */
-interface Held {
+/** The holder of a slot: an unused grant, or a run. */
+interface SlotHolder {
   readonly request: SlotRequest;
   readonly state: "granted" | "running";
-  /** When it was granted, or its run began, by the clock, ms. */
+  /** When it was granted or when its run began, by the clock, ms. */
   readonly since: number;
-  /** Ends a grant that is not taken; tells when a run is overdue. */
+  /** Expires an unused grant; reports an overdue run. */
   readonly timer: Timer;
-  /** It is there to tell whether a target under suspicion is well. */
+  /** It is a probe: it shows whether a suspect target is healthy. */
   readonly isProbe: boolean;
-  /** It was told that the run is overdue. */
+  /** The run was reported as overdue, and this counted. */
   isOverdue: boolean;
 }
 
-/** The slots of a target that are granted or in use, and since when. */
+/** Tracks the slots of a target that are granted or in use. */
 export class SlotTable {
   readonly #clock: Clock;
-  readonly #held = new Map<GrantId, Held>();
+  readonly #holders = new Map<GrantId, SlotHolder>();
 
   constructor(clock: Clock) {
     this.#clock = clock;
   }
 
-  /** Slots granted or in use. */
+  /** Number of slots granted or in use. */
   get size(): number {
-    return this.#held.size;
+    return this.#holders.size;
   }
 
-  /** Requests granted or under way that will tell whether the target is well. */
+  /** Number of probes granted or in progress. */
   get probes(): number {
-    return [...this.#held.values()].filter((h) => h.isProbe).length;
+    return [...this.#holders.values()].filter((h) => h.isProbe).length;
   }
 
   /** Whether `attempt` has a slot, granted or in use. */
   has(attempt: AttemptId): boolean {
-    return [...this.#held.values()].some((h) => h.request.attempt === attempt);
+    return [...this.#holders.values()].some((h) => h.request.attempt === attempt);
   }
 
-  /** Whether a slot is granted that has not been taken yet. */
-  isOpen(grant: GrantId): boolean {
-    return this.#held.get(grant)?.state === "granted";
+  /** Whether a grant is neither used nor expired. */
+  isPending(grant: GrantId): boolean {
+    return this.#holders.get(grant)?.state === "granted";
   }
 
-  /** Grants a slot; `onExpired` is called if it is not taken within `expiresMs`. */
+  /** Grants a slot; `onExpired` is called if the grant is not used within `ttlMs`. */
   grant(
     grant: GrantId,
     request: SlotRequest,
     isProbe: boolean,
-    expiresMs: number,
+    ttlMs: number,
     onExpired: () => void,
   ): void {
-    const timer = this.#clock.after(expiresMs, onExpired);
+    const timer = this.#clock.after(ttlMs, onExpired);
     const since = this.#clock.now();
-    this.#held.set(grant, {
+    this.#holders.set(grant, {
       request,
       state: "granted",
       since,
@@ -67,62 +67,70 @@
     });
   }
 
-  /** Keeps a grant that was not taken for as long as its request has; false when there is none. */
+  /** Extends an unused grant until the deadline of its request; false if there is none. */
   hold(grant: GrantId, onExpired: () => void): boolean {
-    const held = this.#held.get(grant);
-    if (held?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return false;
     }
-    held.timer.cancel();
-    const timer = this.#clock.after(held.request.remainingMs, onExpired);
-    this.#held.set(grant, { ...held, timer });
+    holder.timer.cancel();
+    const timer = this.#clock.after(holder.request.remainingMs, onExpired);
+    this.#holders.set(grant, { ...holder, timer });
     return true;
   }
 
-  /** Takes back a grant that was not taken; true when there was one. */
+  /** Revokes an unused grant; false if there is none. */
   revoke(grant: GrantId): boolean {
-    const held = this.#held.get(grant);
-    if (held?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return false;
     }
-    held.timer.cancel();
-    return this.#held.delete(grant);
+    holder.timer.cancel();
+    return this.#holders.delete(grant);
   }
 
   /**
-   * Begins the run that a slot was granted for; undefined when there is no such grant.
+   * Redeems a grant and begins its run; undefined if there is no such unused grant.
    *
-   * @param overdueMs how long the run may take before `onOverdue` is told; what that returns is whether it counts
+   * @param overdueMs time after which the run is overdue, ms
+   * @param onOverdue called when the run is overdue; returns whether that counts against the target
    */
-  take(
+  redeem(
     grant: GrantId,
     overdueMs: (request: SlotRequest) => number,
     onOverdue: (since: number) => boolean,
   ): SlotRequest | undefined {
-    const granted = this.#held.get(grant);
-    if (granted?.state !== "granted") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "granted") {
       return undefined;
     }
-    granted.timer.cancel();
-    const { request, isProbe } = granted;
+    holder.timer.cancel();
+    const { request, isProbe } = holder;
     const since = this.#clock.now();
     const timer = this.#clock.after(overdueMs(request), () => {
       running.isOverdue = onOverdue(since);
     });
-    const running: Held = { request, state: "running", since, timer, isProbe, isOverdue: false };
-    this.#held.set(grant, running);
+    const running: SlotHolder = {
+      request,
+      state: "running",
+      since,
+      timer,
+      isProbe,
+      isOverdue: false,
+    };
+    this.#holders.set(grant, running);
     return request;
   }
 
-  /** Ends a run; undefined when none is under way. */
+  /** Ends a run; undefined if none is in progress. */
   end(grant: GrantId): { request: SlotRequest; ms: number; wasOverdue: boolean } | undefined {
-    const held = this.#held.get(grant);
-    if (held?.state !== "running") {
+    const holder = this.#holders.get(grant);
+    if (holder?.state !== "running") {
       return undefined;
     }
-    held.timer.cancel();
-    this.#held.delete(grant);
-    const { request, since, isOverdue } = held;
+    holder.timer.cancel();
+    this.#holders.delete(grant);
+    const { request, since, isOverdue } = holder;
     return { request, ms: this.#clock.now() - since, wasOverdue: isOverdue };
   }
 }
