--- a/src/sidecar/routing/RoutingPolicy.ts
+++ b/src/sidecar/routing/RoutingPolicy.ts
@@ -6,53 +6,53 @@
 import type { GateLoad } from "../hop/GateLoad.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
 
-/** A target to ask. */
+/** The target to send the next slot request to. */
 export interface PickedTarget {
   readonly target: TargetInfo;
-  /** It is under suspicion, and due to be tried with a request that has another try left. */
+  /** The target is suspect and due for a probe, which this request can serve as since it can still be retried. */
   readonly isProbe?: boolean;
 }
 
-/** A target under suspicion. */
+/** A target that the health detector holds suspect or ejected. */
 export interface SuspectTarget {
   readonly target: TargetInfo;
-  /** Chance that it fails the request, as far as is known here. */
+  /** Estimated probability that it fails the request, from its gate's last report. */
   readonly risk: number;
-  /** The service's floor keeps it in rotation: it takes what the others have no room for. */
+  /** The service's floor keeps it in rotation although it is gray: it takes requests that the healthy targets have no room for. */
   readonly isKept: boolean;
 }
 
-/** What a target is sought for. */
+/** The request that a target is picked for. */
 export interface PickContext {
   readonly route: RouteMatch;
-  /** Another try is left if this one fails. */
+  /** The request can be sent again if this attempt fails. */
   readonly isExpendable: boolean;
-  /** A target makes it in the midst of a run, which is lost without it. */
+  /** It is a nested call: the run that makes it fails without a response. */
   readonly isCall?: boolean;
 }
 
-/** Chooses targets and learns from how they are heard of. */
+/** Chooses targets, using the replies, load reports and outcomes that it is notified of. */
 export interface RoutingPolicy extends IDisposable {
-  /** The target to ask next for a request, leaving out those in `tried` and those under suspicion. */
+  /** Picks the target for the next slot request, excluding those in `tried` and those that are suspect or ejected. */
   pick(request: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined;
-  /** Those under suspicion, from the best: the floor keeps the first ones in rotation. */
+  /** Lists the suspect and ejected targets, lowest risk first: the floor keeps the first ones in rotation. */
   suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[];
-  /** The sidecar beside `target` answered an ask, after `ms` without waiting for a slot. */
+  /** Records the reply to a slot request and its round-trip time, ms; undefined if the request waited in the admission queue. */
   noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void;
-  /** An ask stands in line at the gate to `target`, which is as busy as that. */
+  /** Records that a slot request was put in the admission queue of `target`, whose gate reports `load`. */
   noteQueued(target: TargetInfo, load: GateLoad): void;
-  /** The gate to a target tells how it is, without having been asked. */
+  /** Records an unsolicited load report from the gate of a target. */
   noteLoad(target: TargetId, load: GateLoad): void;
-  /** A request of `route` was granted a slot, after `waitedMs`. */
+  /** Records that a request of `route` waited `waitedMs` for its slot. */
   noteWait(route: RouteMatch, waitedMs: number): void;
-  /** Whether requests of a route's service wait in line for want of room. */
+  /** Whether requests of the route's service currently wait in admission queues because all slots are in use. */
   isPressed(route: RouteMatch): boolean;
-  /** The sidecar beside `target` did not answer an ask, or a run, in time. */
+  /** Records that the sidecar co-located with `target` stopped responding to a slot request or during a run. */
   noteTimeout(target: TargetInfo): void;
-  /** Notes a request sent to `target`; call the result once, with how it ended. */
+  /** Records a request sent to `target`; the returned function must be called once, with the outcome. */
   begin(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void;
-  /** What a request of `route` usually takes at its service's targets, ms. */
+  /** Typical time that a request of `route` takes at a target of its service, ms. */
   typicalMs(route: RouteMatch): number;
-  /** Routing state of each known target, for `/status`. */
+  /** Returns the routing state of each known target, for `/status`. */
   describe(): { id: TargetId; rotation: "in" | "ejected" }[];
 }
