--- a/src/sidecar/routing/TargetViews.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -5,25 +5,25 @@
 import type { GateLoad } from "../hop/GateLoad.ts";
 import { LinkHealth } from "./LinkHealth.ts";
 
-/** How busy a target's sidecar said that it is counts for this long, ms. */
-const LOAD_FRESH_MS = 2000;
+/** Age up to which a reported load is used to estimate waits, ms. */
+const LOAD_MAX_AGE_MS = 2000;
 
-/** What a target's sidecar said that it thinks of it counts for this long, ms: a change is told at once, but may get lost. */
-const JUDGED_FRESH_MS = 5000;
+/** Age up to which a reported health state is used, ms. Longer than for the load: gates report health changes at once. A report may get lost, so the state expires. */
+const HEALTH_MAX_AGE_MS = 5000;
 
-/** How often what is kept of targets that have gone is forgotten, ms. */
-const FORGET_MS = 5000;
+/** Minimum time between removals of the views of departed targets, ms. */
+const PRUNE_INTERVAL_MS = 5000;
 
-/** What this sidecar keeps about one target. */
+/** What this sidecar knows about one target. */
 export interface TargetView {
   readonly link: LinkHealth;
-  /** The life of the target that the rest tells of. */
+  /** Incarnation of the target that the other fields describe. */
   readonly born: number;
-  /** When it was first heard of here, ms; for one that was there at the start, some time before. */
-  readonly seenAt: number;
+  /** When this sidecar first saw this incarnation, ms; -Infinity if that was soon after the sidecar's own start. */
+  readonly firstSeenAt: number;
   load: GateLoad | undefined;
-  loadAt: number;
-  /** Requests from here at the target now. */
+  loadReceivedAt: number;
+  /** Requests from this sidecar that are running at the target. */
   outstanding: number;
 }
 
@@ -32,29 +32,29 @@
   readonly clock: Clock;
 }
 
-/** What this sidecar knows of each target, by its own asks and by what gates told it, and for how long that counts. */
+/** What this sidecar knows about each target, from its own slot requests and from gates' load reports, with the age limits of that data. */
 export class TargetViews {
   readonly #deps: TargetViewsDeps;
   readonly #startedAt: number;
   readonly #views = new Map<TargetId, TargetView>();
-  #forgotAt = -Infinity;
+  #prunedAt = -Infinity;
 
   constructor(deps: TargetViewsDeps) {
     this.#deps = deps;
     this.#startedAt = deps.clock.now();
   }
 
-  /** What is kept of a target, begun anew with each of its lives. */
-  of({ id, born }: TargetInfo): TargetView {
+  /** Returns the view of a target; a new incarnation of the target gets a new view. */
+  getOrCreate({ id, born }: TargetInfo): TargetView {
     let view = this.#views.get(id);
     if (view?.born !== born) {
       view = {
-        // The path to it stays as it was: it leads to the sidecar beside it.
+        // The link leads to the co-located sidecar, which a restart of the target doesn't affect.
         link: view?.link ?? new LinkHealth(this.#deps.clock),
         born,
-        seenAt: this.#seenNow(),
+        firstSeenAt: this.#firstSeenTime(),
         load: undefined,
-        loadAt: -Infinity,
+        loadReceivedAt: -Infinity,
         outstanding: 0,
       };
       this.#views.set(id, view);
@@ -62,34 +62,35 @@
     return view;
   }
 
-  /** What is kept of a target that was asked before; undefined for any other. */
-  known(id: TargetId): TargetView | undefined {
+  /** Returns the view of a target; undefined if there is none yet. */
+  get(id: TargetId): TargetView | undefined {
     return this.#views.get(id);
   }
 
-  noteLoad(view: TargetView, load: GateLoad): void {
+  /** Stores a load report, which replaces the previous one. */
+  recordLoad(view: TargetView, load: GateLoad): void {
     view.load = load;
-    view.loadAt = this.#deps.clock.now();
+    view.loadReceivedAt = this.#deps.clock.now();
   }
 
-  /** What is thought of a target at `now`: that holds until its gate says otherwise, or is not heard of for long. */
-  judged({ load, loadAt }: TargetView, now: number): GateLoad | undefined {
-    return now - loadAt < JUDGED_FRESH_MS ? load : undefined;
+  /** Returns the last report for its health fields; undefined if it is older than {@link HEALTH_MAX_AGE_MS}. */
+  freshHealth({ load, loadReceivedAt: loadAt }: TargetView, now: number): GateLoad | undefined {
+    return now - loadAt < HEALTH_MAX_AGE_MS ? load : undefined;
   }
 
-  /** How busy a target is at `now`; undefined where that was not heard lately. */
-  freshLoad({ load, loadAt }: TargetView, now: number): GateLoad | undefined {
-    return now - loadAt < LOAD_FRESH_MS ? load : undefined;
+  /** Returns the last report for its load fields; undefined if it is older than {@link LOAD_MAX_AGE_MS}. */
+  freshLoad({ load, loadReceivedAt: loadAt }: TargetView, now: number): GateLoad | undefined {
+    return now - loadAt < LOAD_MAX_AGE_MS ? load : undefined;
   }
 
-  /** Forgets targets that have gone, now and then. */
-  forgetGone(): void {
+  /** Removes the views of departed targets, at most once every {@link PRUNE_INTERVAL_MS}. */
+  pruneDeparted(): void {
     const { table, clock } = this.#deps;
     const now = clock.now();
-    if (now - this.#forgotAt < FORGET_MS) {
+    if (now - this.#prunedAt < PRUNE_INTERVAL_MS) {
       return;
     }
-    this.#forgotAt = now;
+    this.#prunedAt = now;
     for (const [id, { outstanding }] of this.#views) {
       if (outstanding === 0 && !table.target(id)) {
         this.#views.delete(id);
@@ -101,9 +102,9 @@
     this.#views.clear();
   }
 
-  /** Those that are there when this sidecar starts are not new, only new to it. */
-  #seenNow(): number {
+  /** Targets seen soon after this sidecar's start are taken to have existed before it, so they are not ramped up as new. */
+  #firstSeenTime(): number {
     const now = this.#deps.clock.now();
-    return now - this.#startedAt < LOAD_FRESH_MS ? -Infinity : now;
+    return now - this.#startedAt < LOAD_MAX_AGE_MS ? -Infinity : now;
   }
 }
--- a/src/sidecar/routing/ZoneWaitEstimator.test.ts
+++ b/src/sidecar/routing/ZoneWaitEstimator.test.ts
@@ -11,40 +11,54 @@
 
 const cases: readonly {
   name: string;
-  heard: readonly number[];
+  /** Waits reported, oldest first, ms. */
+  reportedMs: readonly number[];
+  /** Time from the last report to the estimate, ms. */
   afterMs: number;
-  least: number;
-  most: number;
+  minMs: number;
+  maxMs: number;
 }[] = [
-  { name: "nothing was heard", heard: [], afterMs: 0, least: 0, most: 0 },
-  { name: "one was full", heard: [500], afterMs: 0, least: 50, most: 200 },
-  { name: "all were full", heard: Array(20).fill(500), afterMs: 0, least: 480, most: 500 },
+  { name: "is 0 without any report", reportedMs: [], afterMs: 0, minMs: 0, maxMs: 0 },
   {
-    name: "all were full, and the last ones free",
-    heard: [...Array<number>(20).fill(500), ...Array<number>(10).fill(0)],
+    name: "rises by a part of one long wait",
+    reportedMs: [500],
     afterMs: 0,
-    least: 0,
-    most: 60,
+    minMs: 50,
+    maxMs: 200,
   },
   {
-    name: "all were full, long ago",
-    heard: Array(20).fill(500),
+    name: "approaches the wait that all targets report",
+    reportedMs: Array(20).fill(500),
+    afterMs: 0,
+    minMs: 480,
+    maxMs: 500,
+  },
+  {
+    name: "falls once targets report free slots",
+    reportedMs: [...Array<number>(20).fill(500), ...Array<number>(10).fill(0)],
+    afterMs: 0,
+    minMs: 0,
+    maxMs: 60,
+  },
+  {
+    name: "decays without new reports, so that a zone that was full is tried again",
+    reportedMs: Array(20).fill(500),
     afterMs: 10_000,
-    least: 0,
-    most: 10,
+    minMs: 0,
+    maxMs: 10,
   },
 ];
 
-for (const { name, heard, afterMs, least, most } of cases) {
-  test(`an ask is expected to wait in a zone where ${name}`, async (t) => {
+for (const { name, reportedMs, afterMs, minMs, maxMs } of cases) {
+  test(`expected wait in a zone ${name}`, async (t) => {
     const clock = new FakeClock();
     const waits = new ZoneWaitEstimator(clock);
-    heard.forEach((ms) => {
-      waits.note(BOOKS, HERE, ms);
+    reportedMs.forEach((ms) => {
+      waits.record(BOOKS, HERE, ms);
     });
     await clock.advance(afterMs);
     const ms = waits.expectedMs(BOOKS, HERE);
-    t.true(least <= ms && ms <= most, `${ms} ms`);
+    t.true(minMs <= ms && ms <= maxMs, `${ms} ms`);
     t.is(waits.expectedMs(BOOKS, THERE), 0);
     t.is(waits.expectedMs(DESK, HERE), 0);
   });
--- a/src/sidecar/routing/ZoneWaitEstimator.ts
+++ b/src/sidecar/routing/ZoneWaitEstimator.ts
@@ -2,22 +2,22 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { ZoneName } from "../../common/ids/ZoneName.ts";
 
-/** Weight of the newest word in the average: about the last five gates heard of count. */
-const WEIGHT = 0.2;
+/** Weight of the newest report in the moving average: about the last five reports dominate it. */
+const NEWEST_WEIGHT = 0.2;
 
-/** Without any word, what was last heard halves in this long, ms: a zone that was full is tried again. */
+/** Without new reports the average halves in this time, ms, so that a zone that was full is tried again. */
 const HALF_LIFE_MS = 1500;
 
 interface Average {
   waitMs: number;
-  heardAt: number;
+  updatedAt: number;
 }
 
 /**
- * How long an ask waits for a slot at a target of which nothing fresh is known: as long as at others of its service and zone that
- * were heard of lately. Among hundreds of targets a sidecar hears of any one only now and then; taken for free until it says
- * otherwise, the targets of a zone with more callers than others were asked first all the same, and
- * requests stood in line there while other zones had room.
+ * Estimates the wait for a slot at targets without a fresh load report, from recent reports of other targets of the same
+ * service and zone. Among hundreds of targets a sidecar gets a report of any single one only occasionally. When targets
+ * without a report were assumed to be free, the targets of a zone with more callers than other zones were still tried
+ * first, and requests queued there while other zones had room.
  */
 export class ZoneWaitEstimator {
   readonly #clock: Clock;
@@ -27,22 +27,22 @@
     this.#clock = clock;
   }
 
-  /** Notes that an ask would wait so long, ms, at a target of a service in a zone. */
-  note(service: ServiceName, zone: ZoneName, waitMs: number): void {
-    const before = this.expectedMs(service, zone);
+  /** Records that a slot request would wait `waitMs` at a target of the service in the zone. */
+  record(service: ServiceName, zone: ZoneName, waitMs: number): void {
+    const previousMs = this.expectedMs(service, zone);
     this.#averages.set(keyOf(service, zone), {
-      waitMs: before + WEIGHT * (waitMs - before),
-      heardAt: this.#clock.now(),
+      waitMs: previousMs + NEWEST_WEIGHT * (waitMs - previousMs),
+      updatedAt: this.#clock.now(),
     });
   }
 
-  /** How long an ask is expected to wait there, ms; 0 where nothing was heard. */
+  /** Expected wait of a slot request in the zone, ms; 0 without any report. */
   expectedMs(service: ServiceName, zone: ZoneName): number {
     const average = this.#averages.get(keyOf(service, zone));
     if (!average) {
       return 0;
     }
-    const age = this.#clock.now() - average.heardAt;
+    const age = this.#clock.now() - average.updatedAt;
     return average.waitMs * 0.5 ** (age / HALF_LIFE_MS);
   }
 }
