--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -318,7 +318,10 @@
 }
 
 /** The sidecar beside the target is being stopped, and ends before the request would; one that has ended may be back. */
-function stopsTooSoon({ now, typicalMs, isExpendable }: PickSnapshot, { view }: Candidate): boolean {
+function stopsTooSoon(
+  { now, typicalMs, isExpendable }: PickSnapshot,
+  { view }: Candidate,
+): boolean {
   const { load, loadReceivedAt: loadAt } = view;
   if (load?.endsInMs === undefined) {
     return false;
