--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -14,7 +14,7 @@
 import { RemoteRun } from "./RemoteRun.ts";
 
 /** What is sent beside first tries: a retry, or a second run beside a stuck one. */
-type ExtraTry = "retry" | "hedge";
+type ExtraRunCause = "retry" | "hedge";
 
 /** What the dispatcher needs from the rest of the sidecar; passed in so tests can fake each. */
 interface DispatcherDeps {
@@ -30,7 +30,7 @@
   /** Tells calls that targets make from callers' own requests; left out, all are callers' own. */
   readonly calls?: Pick<TrafficClassifier, "begin">;
   /** Told of each request that is sent to a further target. */
-  readonly onExtraTry?: (service: string, cause: ExtraTry) => void;
+  readonly onExtraTry?: (service: string, cause: ExtraRunCause) => void;
   /** Told of a retry that the service's budget had no room for. */
   readonly onDenied?: (service: string) => void;
   readonly clock: Clock;
@@ -45,13 +45,13 @@
 const HEDGE_FACTOR = 2.5;
 
 /** Grants that ran out before they were taken, as on a machine that stood still; then another target's turn comes. */
-const MAX_EXPIRED = 3;
+const MAX_EXPIRED_BEFORE_SWITCH = 3;
 
 /**
  * Grants of one request that may run out before it is given up. Its way to the targets is too slow then: sent on and on, it
  * would only make it slower for the others.
  */
-const MAX_EXPIRED_IN_ALL = 6;
+const MAX_EXPIRED_TOTAL = 6;
 
 /** Times that one request is sent to a target that then refuses it, at most. */
 const MAX_REFUSED_SENDS = 4;
@@ -61,21 +61,21 @@
  * this long after it came, ms. Targets announce themselves within 0.6 s of their sidecars'
  * return; a request refused before could have been served within its objective.
  */
-const STARTING_RETRY_MS = 50;
-const STARTING_HOLD_MS = 800;
+const STARTUP_RETRY_MS = 50;
+const STARTUP_HOLD_MS = 800;
 
 /**
  * A call that every target has refused is asked for again after this long, ms, and then after twice as long each
  * time: a refusal here loses the run that makes it, and a place in line may be free by then.
  */
-const CALL_PAUSE_MS = 50;
+const NESTED_CALL_BACKOFF_MS = 50;
 
 /** The state of one request on its way. */
-interface Course {
+interface DispatchState {
   readonly route: RouteMatch;
   readonly req: CallerRequest;
   /** A target makes it in the midst of a run. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
   /** Targets that had their chance. */
   readonly tried: Set<TargetId>;
   /** Targets that it was sent to and that may have run it. */
@@ -115,31 +115,37 @@
     }
     const tried = new Set<TargetId>();
     const counts = { sends: 0, refusedSends: 0, refusals: 0, expired: 0 };
-    const result = await this.#serve({ route, req, isCall, tried, ...counts });
-    begun?.end(isGood(result));
+    const result = await this.#dispatchWithRetries({
+      route,
+      req,
+      isNestedCall: isCall,
+      tried,
+      ...counts,
+    });
+    begun?.end(isSuccess(result));
     return result;
   }
 
-  async #serve(course: Course): Promise<ForwardResult> {
+  async #dispatchWithRetries(course: DispatchState): Promise<ForwardResult> {
     const { route, req, tried } = course;
     let last: ForwardResult | undefined;
     for (;;) {
-      const sought = await this.#seek(course).sought;
+      const sought = await this.#findSlot(course).result;
       if (sought.kind === "refused") {
-        if (sought.isUnknown && this.#mayComeUp(req)) {
-          await this.#pause(STARTING_RETRY_MS);
+        if (sought.isTargetUnknown && this.#mayAwaitTarget(req)) {
+          await this.#delay(STARTUP_RETRY_MS);
           continue;
         }
-        if (this.#mayWaitFor(course)) {
-          await this.#pause(CALL_PAUSE_MS * 2 ** course.refusals++);
+        if (this.#mayAwaitRoom(course)) {
+          await this.#delay(NESTED_CALL_BACKOFF_MS * 2 ** course.refusals++);
           continue;
         }
         return last ?? notRun(sought);
       }
       const newest = await this.#runHedged(course, sought.grant);
-      last = moreTelling(last, newest);
+      last = moreInformative(last, newest);
       course.expired += isExpired(newest) ? 1 : 0;
-      if (isExpired(newest) && course.expired <= MAX_EXPIRED) {
+      if (isExpired(newest) && course.expired <= MAX_EXPIRED_BEFORE_SWITCH) {
         tried.delete(sought.grant.target.id);
       }
       if (!(await this.#mayRetry(course, newest))) {
@@ -159,67 +165,67 @@
   close(): void {
     this.#closed = true;
     for (const finder of this.#finders) {
-      finder.giveUp();
+      finder.cancel();
     }
   }
 
   /** Whether a target may come to be known soon, with the caller still there. */
-  #mayComeUp({ startedAt, deadlineAt, left }: CallerRequest): boolean {
+  #mayAwaitTarget({ startedAt, deadlineAt, left }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
-    const holdUntil = Math.min(startedAt + STARTING_HOLD_MS, deadlineAt);
+    const holdUntil = Math.min(startedAt + STARTUP_HOLD_MS, deadlineAt);
     return isStarting?.() === true && clock.now() < holdUntil && !left.aborted && !this.#closed;
   }
 
   /** Whether a call that was refused may be asked for again, and served in time then. */
-  #mayWaitFor({ route, req, isCall, refusals }: Course): boolean {
+  #mayAwaitRoom({ route, req, isNestedCall: isCall, refusals }: DispatchState): boolean {
     const { clock, policy } = this.#deps;
-    const from = clock.now() + CALL_PAUSE_MS * 2 ** refusals;
+    const from = clock.now() + NESTED_CALL_BACKOFF_MS * 2 ** refusals;
     const isInTime = from + policy.typicalMs(route) < req.deadlineAt;
     return isCall && isInTime && !req.left.aborted && !this.#closed;
   }
 
-  #pause(ms: number): Promise<void> {
+  #delay(ms: number): Promise<void> {
     return new Promise((resolve) => this.#deps.clock.after(ms, resolve));
   }
 
-  #seek(course: Course): SlotFinder {
+  #findSlot(course: DispatchState): SlotFinder {
     const { policy, hop, clock, log } = this.#deps;
     const requestSlot: HopLink["requestSlot"] = (...args) => hop.requestSlot(...args);
-    const { route, req, tried, isCall } = course;
-    const request = { route, isCall, isExpendable: this.#hasSpareTry(course) };
+    const { route, req, tried, isNestedCall: isCall } = course;
+    const request = { route, isCall, isExpendable: this.#hasSpareAttempt(course) };
     const finder = new SlotFinder({ policy, requestSlot, clock, log }, request, req, tried);
     this.#finders.add(finder);
-    void finder.sought.then(() => this.#finders.delete(finder));
+    void finder.result.then(() => this.#finders.delete(finder));
     if (this.#closed) {
-      finder.giveUp();
+      finder.cancel();
     }
     return finder;
   }
 
   /** Runs the request where it was granted a slot, and at a second target when the first is stuck. */
-  async #runHedged(course: Course, grant: Grant): Promise<ForwardResult> {
-    const first = this.#start(course, grant);
+  async #runHedged(course: DispatchState, grant: Grant): Promise<ForwardResult> {
+    const first = this.#startRun(course, grant);
     if (!this.#mayRepeat(course)) {
       return first.result;
     }
-    const hedge = this.#hedgeLater(course);
+    const hedge = this.#scheduleHedge(course);
     const winner = await Promise.race([first.result, hedge.result]);
     hedge.cancel();
     if (winner === undefined) {
       return first.result;
     }
-    if (isGood(winner)) {
+    if (isSuccess(winner)) {
       first.giveUp();
       hedge.giveUp();
       return winner;
     }
     // The sooner one failed: the other, if there is one, may still be good.
     const [a, b] = await Promise.all([first.result, hedge.started ? hedge.result : undefined]);
-    return b && isGood(b) ? b : moreTelling(b, a);
+    return b && isSuccess(b) ? b : moreInformative(b, a);
   }
 
   /** A second run that starts when the first is stuck; its result is undefined when it never starts. */
-  #hedgeLater(course: Course) {
+  #scheduleHedge(course: DispatchState) {
     const { clock, policy, log, onExtraTry } = this.#deps;
     let run: RemoteRun | undefined;
     let finder: SlotFinder | undefined;
@@ -231,23 +237,23 @@
       cancel: () => {
         timer.cancel();
         if (!hedge.started) {
-          finder?.giveUp();
+          finder?.cancel();
         }
       },
       giveUp: () => run?.giveUp(),
     };
     const timer = clock.after(policy.typicalMs(course.route) * HEDGE_FACTOR, () => {
       if (!this.#deps.budgets.tryRetry(course.route)) {
-        this.#noteDenied(course, "hedge");
+        this.#reportDenied(course, "hedge");
         return;
       }
-      finder = this.#seek(course);
-      void finder.sought.then((sought) => {
+      finder = this.#findSlot(course);
+      void finder.result.then((sought) => {
         if (sought.kind === "granted") {
           onExtraTry?.(course.route.service.name, "hedge");
           log.info({ attempt: course.req.attempt, target: sought.grant.target.id }, "hedging");
           hedge.started = true;
-          run = this.#start(course, sought.grant);
+          run = this.#startRun(course, sought.grant);
           void run.result.then(settle);
         }
       });
@@ -255,7 +261,7 @@
     return hedge;
   }
 
-  #start(course: Course, grant: Grant): RemoteRun {
+  #startRun(course: DispatchState, grant: Grant): RemoteRun {
     const { hop, callerService, clock, log, policy } = this.#deps;
     const { route, req } = course;
     course.tried.add(grant.target.id);
@@ -278,7 +284,7 @@
     return run;
   }
 
-  async #mayRetry(course: Course, last: ForwardResult): Promise<boolean> {
+  async #mayRetry(course: DispatchState, last: ForwardResult): Promise<boolean> {
     const { req } = course;
     if (req.left.aborted || this.#deps.clock.now() >= req.deadlineAt) {
       return false;
@@ -289,41 +295,41 @@
       case "in-progress":
         return false;
       case "may-have-run":
-        return this.#mayRepeat(course) && this.#takeLeave(course);
+        return this.#mayRepeat(course) && this.#takeRetryToken(course);
       case "done":
         return (
           last.outcome === AttemptOutcome.Failed &&
           this.#mayRepeat(course) &&
-          this.#takeLeave(course)
+          this.#takeRetryToken(course)
         );
     }
   }
 
   /** Another try is left beside the next one, should it fail; a loan for that is not sure enough to risk a gray target for. */
-  #hasSpareTry({ route, req, sends }: Course): boolean {
+  #hasSpareAttempt({ route, req, sends }: DispatchState): boolean {
     const isRepeatable = route.idempotent && !isStream(req.body);
     return isRepeatable && sends + 1 < route.attempts && this.#deps.budgets.hasRoom(route);
   }
 
-  #mayRepeat({ route, req, sends }: Course): boolean {
+  #mayRepeat({ route, req, sends }: DispatchState): boolean {
     // A body that was passed on as it came is gone.
     return route.idempotent && sends < route.attempts && !isStream(req.body);
   }
 
   /** After a not-run: one that a target itself refused has reached it, and costs a token. */
-  async #mayResend(course: Course, last: ForwardResult): Promise<boolean> {
+  async #mayResend(course: DispatchState, last: ForwardResult): Promise<boolean> {
     if (isStream(course.req.body)) {
       return false;
     }
     if (last.outcome !== AttemptOutcome.Shed) {
-      return course.expired <= MAX_EXPIRED_IN_ALL;
+      return course.expired <= MAX_EXPIRED_TOTAL;
     }
     course.refusedSends += 1;
-    return course.refusedSends <= MAX_REFUSED_SENDS && this.#takeLeave(course);
+    return course.refusedSends <= MAX_REFUSED_SENDS && this.#takeRetryToken(course);
   }
 
   /** Takes leave for a further send from the service's retry budget, here or elsewhere; tells of it where there is none left. */
-  async #takeLeave(course: Course): Promise<boolean> {
+  async #takeRetryToken(course: DispatchState): Promise<boolean> {
     const { budgets, borrower, log } = this.#deps;
     const { route, req } = course;
     if (budgets.tryRetry(route)) {
@@ -334,11 +340,11 @@
       log.info({ attempt: req.attempt, costs }, "retry tokens borrowed");
       return !req.left.aborted;
     }
-    this.#noteDenied(course, "retry");
+    this.#reportDenied(course, "retry");
     return false;
   }
 
-  #noteDenied({ route, req }: Course, cause: ExtraTry): void {
+  #reportDenied({ route, req }: DispatchState, cause: ExtraRunCause): void {
     const { budgets } = this.#deps;
     const service = route.service.name;
     this.#deps.onDenied?.(service);
@@ -347,7 +353,7 @@
   }
 }
 
-function isGood(result: ForwardResult): boolean {
+function isSuccess(result: ForwardResult): boolean {
   return result.verdict.kind === "done" && result.outcome === AttemptOutcome.Ok;
 }
 
@@ -356,7 +362,7 @@
  * another one has failed it, or may have run it, does not make it a request that has not run. Without this, callers
  * were told "not run" of lookups that a gray target had worked on.
  */
-function moreTelling(before: ForwardResult | undefined, newest: ForwardResult): ForwardResult {
+function moreInformative(before: ForwardResult | undefined, newest: ForwardResult): ForwardResult {
   const hides = newest.verdict.kind === "not-run" && before?.verdict.kind !== "not-run";
   return before && hides ? before : newest;
 }
--- a/src/sidecar/routing/SlotFinder.test.ts
+++ b/src/sidecar/routing/SlotFinder.test.ts
@@ -11,8 +11,8 @@
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** How long a request in line leaves gray targets that are not the worst alone, ms: half of its objective. */
-const PATIENCE_MS = 150;
+/** Time that a queued request does not try gray targets with an acceptable risk, ms: half of the route's objective. */
+const GRAY_DELAY_MS = 150;
 
 function rig(names = ["a", "b", "c", "d"], gray: readonly string[] = []) {
   const clock = new FakeClock();
@@ -20,21 +20,25 @@
   hop.onAsk = () => undefined;
   const targets = names.map((id) => makeTarget(id, { hopAddress: id, askAddress: id }));
   const policy = new FixedPolicy(targets, gray);
-  const seek = (over: Parameters<typeof makeCallerRequest>[0] = {}) =>
+  const findSlot = (overrides: Parameters<typeof makeCallerRequest>[0] = {}) =>
     new SlotFinder(
       { policy, requestSlot: (...args) => hop.requestSlot(...args), clock, log },
       { route: makeRoute(), isExpendable: true },
-      makeCallerRequest(over),
+      makeCallerRequest(overrides),
       new Set(),
     );
-  const asked = () => hop.asks.map((a) => a.address).join("");
-  return { clock, hop, policy, seek, asked };
+  const requestedFrom = () => hop.asks.map((a) => a.address).join("");
+  return { clock, hop, policy, findSlot, requestedFrom };
 }
 
-/** Has the first target asked say that the request waits in line there, or that it is full. */
-async function answer(hop: FakeHop, clock: FakeClock, reply: "line" | "full"): Promise<void> {
+/** Makes the first target report that the request is queued, or refuse it as full. */
+async function replyOfFirst(
+  hop: FakeHop,
+  clock: FakeClock,
+  reply: "queued" | "full",
+): Promise<void> {
   const call = hop.asks[0]?.call;
-  if (reply === "line") {
+  if (reply === "queued") {
     call?.onAlive();
   } else {
     call?.answer(refused(RefusalReason.Full));
@@ -42,154 +46,178 @@
   await clock.advance(0);
 }
 
-test("seek: a free slot at the first target costs one ask", async (t) => {
-  const { clock, hop, seek, asked } = rig();
-  const finder = seek();
+test("find slot: a free slot at the first target takes a single slot request", async (t) => {
+  const { clock, hop, findSlot, requestedFrom } = rig();
+  const finder = findSlot();
   hop.asks[0]?.call.answer(granted);
-  const sought = await finder.sought;
+  const result = await finder.result;
   await clock.advance(1000);
-  t.is(sought.kind === "granted" && sought.grant.target.hopAddress, "a");
-  t.is(asked(), "a");
+  t.is(result.kind === "granted" && result.grant.target.hopAddress, "a");
+  t.is(requestedFrom(), "a");
 });
 
-test("seek: a path that stays silent costs tens of milliseconds", async (t) => {
-  // Story: the link to one target's VM is cut. The request goes to another long before
-  // any timeout, and nothing is in doubt, since asking runs nothing.
-  const { clock, hop, seek, asked } = rig();
-  const finder = seek();
+test("find slot: an unresponsive path delays the request by no more than 40 ms", async (t) => {
+  // The link to one target's VM is cut. Another target is tried long before any timeout,
+  // and the outcome never becomes unknown, since a slot request runs nothing.
+  const { clock, hop, findSlot, requestedFrom } = rig();
+  const finder = findSlot();
   await clock.advance(40);
-  t.is(asked(), "ab");
+  t.is(requestedFrom(), "ab");
   hop.asks[1]?.call.answer(granted);
-  const sought = await finder.sought;
-  t.is(sought.kind === "granted" && sought.grant.target.hopAddress, "b");
+  const result = await finder.result;
+  t.is(result.kind === "granted" && result.grant.target.hopAddress, "b");
   t.true(hop.asks[0]?.call.givenUp);
 });
 
-test("seek: an ask that waits in a queue makes others be asked, but not more than three at a time", async (t) => {
-  const { clock, hop, seek, asked } = rig();
-  const finder = seek();
+test("find slot: while the request is queued at a target others are tried, at most three at a time", async (t) => {
+  const { clock, hop, findSlot, requestedFrom } = rig();
+  const finder = findSlot();
   for (let i = 0; i < 3; i++) {
     await clock.advance(5);
     hop.asks.at(-1)?.call.onAlive();
     await clock.advance(20);
   }
-  t.is(asked(), "abc");
+  t.is(requestedFrom(), "abc");
   hop.asks[1]?.call.answer(refused());
   await clock.advance(0);
-  t.is(asked(), "abcd", "one that refused makes room for the next");
+  t.is(requestedFrom(), "abcd", "a refusal allows a further slot request");
   hop.asks[0]?.call.answer(granted);
-  t.is((await finder.sought).kind, "granted");
+  t.is((await finder.result).kind, "granted");
   t.true([2, 3].every((i) => hop.asks[i]?.call.givenUp));
 });
 
-test("seek: a target under suspicion is taken only when no other will have the request", async (t) => {
-  const { clock, hop, seek, asked } = rig(["a", "b"]);
-  const finder = seek();
+test("find slot: a suspect target is used only after all others have refused the request", async (t) => {
+  const { clock, hop, findSlot, requestedFrom } = rig(["a", "b"]);
+  const finder = findSlot();
   hop.asks[0]?.call.answer(refused(RefusalReason.Suspect));
   await clock.advance(0);
   hop.asks[1]?.call.answer(refused(RefusalReason.Full));
   await clock.advance(0);
-  t.is(asked(), "aba");
+  t.is(requestedFrom(), "aba");
   t.deepEqual(
     hop.asks.map((a) => a.request.acceptsRisk > 0),
     [false, false, true],
   );
   hop.asks[2]?.call.answer(granted);
-  t.is((await finder.sought).kind, "granted");
+  t.is((await finder.result).kind, "granted");
 });
 
-/** What the sound target does with a request while a gray one has room. */
-const soundOnes: readonly { name: string; reply: "line" | "full" }[] = [
-  { name: "has it in line", reply: "line" },
+/** How the healthy target replies while a gray one has a free slot. */
+const healthyReplies: readonly { name: string; reply: "queued" | "full" }[] = [
+  { name: "has the request queued", reply: "queued" },
   { name: "is full", reply: "full" },
 ];
 
-for (const { name, reply } of soundOnes) {
-  test(`seek: a bad target is left alone while a sound one ${name}`, async (t) => {
-    // Story: five of eight targets turn gray, and the three sound ones have lines. A gray target
-    // always has room, since it fails what it gets at once: requests that had stood in line for
-    // a while went there, and on a busy day 103 lease offers of 4,300 were lost that way.
-    const { clock, hop, seek, asked } = rig(["a", "gray"], ["gray"]);
-    const finder = seek({ deadlineAt: 2000 });
-    await answer(hop, clock, reply);
+for (const { name, reply } of healthyReplies) {
+  test(`find slot: a high-risk gray target is not tried while a healthy one ${name}`, async (t) => {
+    // Five of eight targets turn gray, and requests queue at the three healthy ones. A gray target
+    // always has free slots, since it fails its requests immediately. Requests that had been queued for
+    // a while were sent there, and 103 of 4,300 lease offers on a busy day were lost that way.
+    const { clock, hop, findSlot, requestedFrom } = rig(["a", "gray"], ["gray"]);
+    const finder = findSlot({ deadlineAt: 2000 });
+    await replyOfFirst(hop, clock, reply);
     await clock.advance(1900);
-    t.is(asked(), "a");
+    t.is(requestedFrom(), "a");
     if (reply === "full") {
-      t.is((await finder.sought).kind, "refused");
+      t.is((await finder.result).kind, "refused");
     }
   });
 }
 
-const lessBad: readonly {
-  what: string;
+const acceptableGray: readonly {
+  description: string;
   risk: number;
   isKept: boolean;
-  reply: "line" | "full";
-  askedAfterMs: number;
+  reply: "queued" | "full";
+  requestedAfterMs: number;
 }[] = [
-  { what: "not as bad", risk: 0.3, isKept: false, reply: "line", askedAfterMs: PATIENCE_MS },
-  { what: "not as bad", risk: 0.3, isKept: false, reply: "full", askedAfterMs: 0 },
-  { what: "kept for the floor", risk: 0.7, isKept: true, reply: "line", askedAfterMs: PATIENCE_MS },
-  { what: "kept for the floor", risk: 0.7, isKept: true, reply: "full", askedAfterMs: 0 },
+  {
+    description: "with an acceptable risk",
+    risk: 0.3,
+    isKept: false,
+    reply: "queued",
+    requestedAfterMs: GRAY_DELAY_MS,
+  },
+  {
+    description: "with an acceptable risk",
+    risk: 0.3,
+    isKept: false,
+    reply: "full",
+    requestedAfterMs: 0,
+  },
+  {
+    description: "kept in rotation by the floor",
+    risk: 0.7,
+    isKept: true,
+    reply: "queued",
+    requestedAfterMs: GRAY_DELAY_MS,
+  },
+  {
+    description: "kept in rotation by the floor",
+    risk: 0.7,
+    isKept: true,
+    reply: "full",
+    requestedAfterMs: 0,
+  },
 ];
 
-for (const { what, risk, isKept, reply, askedAfterMs } of lessBad) {
-  test(`seek: a target that is ${what} is taken ${askedAfterMs} ms after a sound one said ${reply}`, async (t) => {
-    const { clock, hop, policy, seek, asked } = rig(["a", "gray"], ["gray"]);
+for (const { description, risk, isKept, reply, requestedAfterMs } of acceptableGray) {
+  test(`find slot: a gray target ${description} is tried ${requestedAfterMs} ms after a healthy one replied ${reply}`, async (t) => {
+    const { clock, hop, policy, findSlot, requestedFrom } = rig(["a", "gray"], ["gray"]);
     policy.grayRisk = risk;
     policy.isKept = isKept;
-    seek();
-    await answer(hop, clock, reply);
-    await clock.advance(Math.max(0, askedAfterMs - 1));
-    t.is(asked(), askedAfterMs > 0 ? "a" : "agray");
+    findSlot();
+    await replyOfFirst(hop, clock, reply);
+    await clock.advance(Math.max(0, requestedAfterMs - 1));
+    t.is(requestedFrom(), requestedAfterMs > 0 ? "a" : "agray");
     await clock.advance(1);
-    t.is(asked(), "agray");
+    t.is(requestedFrom(), "agray");
     t.is(hop.asks[1]?.request.acceptsRisk, isKept ? 0.75 : 0.5);
   });
 }
 
-test("seek: with no sound target at all, the gray ones take the work", async (t) => {
-  const { clock, seek, asked } = rig(["gray"], ["gray"]);
-  seek();
+test("find slot: gray targets are tried when there is no healthy one", async (t) => {
+  const { clock, findSlot, requestedFrom } = rig(["gray"], ["gray"]);
+  findSlot();
   await clock.advance(0);
-  t.is(asked(), "gray");
+  t.is(requestedFrom(), "gray");
 });
 
-test("seek: a path that stays silent is no line to wait in", async (t) => {
-  const { clock, seek, asked } = rig(["a", "gray"], ["gray"]);
-  seek();
+test("find slot: a target that does not reply does not count as having queued the request", async (t) => {
+  const { clock, findSlot, requestedFrom } = rig(["a", "gray"], ["gray"]);
+  findSlot();
   await clock.advance(40);
-  t.is(asked(), "agray");
+  t.is(requestedFrom(), "agray");
 });
 
-test("seek: when all have refused it is over at once, with the soonest time to come back", async (t) => {
-  const { clock, hop, seek } = rig(["a", "b"]);
-  const finder = seek();
+test("find slot: after all targets refused, the search ends at once with the shortest retry-after", async (t) => {
+  const { clock, hop, findSlot } = rig(["a", "b"]);
+  const finder = findSlot();
   hop.asks[0]?.call.answer({ ...refused(), retryAfterMs: 700 } as never);
   await clock.advance(0);
   hop.asks[1]?.call.answer({ ...refused(), retryAfterMs: 300 } as never);
-  const sought = await finder.sought;
-  t.is(sought.kind === "refused" && sought.retryAfterMs, 300);
+  const result = await finder.result;
+  t.is(result.kind === "refused" && result.retryAfterMs, 300);
   t.is(clock.now(), 0);
 });
 
-test("seek: no slot by the deadline is a refusal, and every ask is withdrawn", async (t) => {
-  const { clock, hop, seek } = rig();
-  const finder = seek({ deadlineAt: 500 });
+test("find slot: no slot by the deadline ends in a refusal, and every slot request is withdrawn", async (t) => {
+  const { clock, hop, findSlot } = rig();
+  const finder = findSlot({ deadlineAt: 500 });
   for (let i = 0; i < 20; i++) {
     hop.asks.forEach((a) => {
       a.call.onAlive();
     });
     await clock.advance(25);
   }
-  t.is((await finder.sought).kind, "refused");
+  t.is((await finder.result).kind, "refused");
   t.true(hop.asks.every((a) => a.call.givenUp));
 });
 
-test("seek: how much time is left is told as a span, never as a time of day", async (t) => {
-  const { clock, hop, seek } = rig();
+test("find slot: slot requests carry the remaining time as a duration, so that clocks need not agree", async (t) => {
+  const { clock, hop, findSlot } = rig();
   await clock.advance(300);
-  seek({ startedAt: 100, deadlineAt: 1100 });
+  findSlot({ startedAt: 100, deadlineAt: 1100 });
   t.is(hop.asks[0]?.request.remainingMs, 800);
   t.is(hop.asks[0]?.request.objectiveMs, 100);
 });
--- a/src/sidecar/routing/SlotFinder.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -14,21 +14,21 @@
 import type { CallerRequest } from "./CallerRequest.ts";
 import type { PickedTarget, PickContext, RoutingPolicy, SuspectTarget } from "./RoutingPolicy.ts";
 
-/** A slot that was granted. */
+/** A lease on a slot at `target`, valid until it is used or expires. */
 export interface Grant {
   readonly target: TargetInfo;
   readonly id: GrantId;
 }
 
-/** What came of asking: a slot, or why there is none. */
+/** Outcome of a search: a grant, or the reason why there is none. */
 export type SlotSearchResult =
   | { readonly kind: "granted"; readonly grant: Grant }
   | {
       readonly kind: "refused";
       readonly reason: string;
       readonly retryAfterMs: number;
-      /** No target was known, or those that were are not known beside their own sidecars. */
-      readonly isUnknown: boolean;
+      /** No target was known, or every one asked was unknown to the sidecar it was announced by. */
+      readonly isTargetUnknown: boolean;
     };
 
 interface SlotFinderDeps {
@@ -39,103 +39,105 @@
 }
 
 /**
- * Targets asked at the same time, at most. The first free slot is taken and the other
- * asks are withdrawn (late binding; Ousterhout et al., "Sparrow", SOSP 2013): no
- * request waits at a busy target while another has room.
+ * Maximum number of concurrent slot requests. The first grant is used and the other
+ * slot requests are withdrawn (late binding; Ousterhout et al., "Sparrow", SOSP 2013), so
+ * that no request waits at a busy target while another one has a free slot.
  */
-const MAX_ASKS = 3;
+const MAX_CONCURRENT_REQUESTS = 3;
 
 /**
- * Sound targets that may say that they are full before no other is asked: loads are even, and under overload every
- * request would ask all targets there are.
+ * Number of healthy targets that may refuse as full before no further healthy one is tried. Loads are similar across
+ * targets, and without this limit every request would try every target during an overload.
  */
-const MAX_FULL = 3;
+const MAX_FULL_REFUSALS = 3;
 
 /**
- * An ask not answered within this long makes another target be asked beside it, ms.
- * Across zones an answer takes 3 to 6; a path that is cut or loses packets never
- * answers, or takes hundreds.
+ * Time without a reply after which another target is tried in parallel, ms. A reply
+ * across zones takes 3 to 6 ms; over a path that is cut or loses packets it takes
+ * hundreds or never arrives.
  */
-const SILENCE_MS = 40;
+const NEXT_AFTER_SILENCE_MS = 40;
 
-/** An ask that waits in a queue makes another target be asked beside it after this long, ms. */
-const QUEUED_MS = 15;
+/** Time in an admission queue after which another target is tried in parallel, ms. */
+const NEXT_AFTER_QUEUED_MS = 15;
 
 /**
- * An ask silent for this long counts against the path, and not as one that is under way, ms: longer than
- * a garbage collection at the other side.
+ * Time without a reply after which a slot request is reported as a link failure and no longer counts as in flight, ms.
+ * Longer than a garbage collection pause at the other sidecar.
  */
-const DEAD_MS = 150;
+const UNRESPONSIVE_MS = 150;
 
-/** An ask silent for this long is given up, ms: it was sent three times, and the other side is down or cut off. */
-const GONE_MS = 500;
+/** Time without a reply after which a slot request is abandoned, ms. It was sent three times by then, so the other sidecar is down or unreachable. */
+const ABANDON_MS = 500;
 
 /**
- * A gray target that fails requests with at least this chance is left alone while there are sound
- * ones, though they be full: a caller is better served late, or told in time that nothing has run, than by
- * a failure of work that may have been done.
+ * Highest failure probability at which a gray target is tried while there are healthy ones, even if those are
+ * full. A late response, or a timely "not run", serves a caller better than a failure after which the work may have
+ * been done.
  */
-const LEAST_BAD_RISK = 0.5;
+const MAX_GRAY_RISK = 0.5;
 
 /**
- * The same for one that the service's floor keeps in rotation: where that many look gray, the detector may
- * be wrong, or all be slow, and more evidence is asked for. One that fails all it is given is left alone even so.
+ * The same limit for a gray target that the service's floor keeps in rotation. When that many targets look gray, the
+ * detector may be wrong or all targets slow, so more evidence is required. A target that fails every request still
+ * exceeds this limit.
  */
-const KEPT_RISK = 0.75;
+const MAX_KEPT_RISK = 0.75;
 
 /**
- * Where no sound target is in reach, a request with another try takes any. One without is told that it has not
- * run, rather than be failed by a target that fails three in four: its caller may come back, and knows where it stands.
+ * Limit for a request that can still be retried, when no healthy target is reachable: any target is tried. A request
+ * that can't be retried keeps the limit of {@link MAX_KEPT_RISK}: "not run" lets its caller safely try again, while a target
+ * that fails three requests in four would probably leave its outcome unknown.
  */
 const ANY_RISK = 1;
 
 /**
- * Share of the objective for which a request in line at sound targets leaves alone a gray one
- * that is not as bad: the line may still move within the objective.
+ * Share of the route's objective for which a request queued at healthy targets does not try a gray target whose
+ * risk is acceptable: a slot may still come free within the objective.
  */
-const PATIENCE_SHARE = 0.5;
+const GRAY_DELAY_SHARE = 0.5;
 
-/** One target that was asked. */
-interface OpenAsk {
+/** A slot request without a final reply. */
+interface OpenRequest {
   readonly target: TargetInfo;
   readonly pending: PendingCall<SlotReply>;
-  readonly askedAt: number;
-  /** The chance of failure up to which it was asked though it is under suspicion. */
+  readonly sentAt: number;
+  /** The failure probability up to which the target may grant it while suspect or ejected. */
   readonly acceptsRisk: number;
-  /** It was heard of: it waits in the queue there. */
+  /** The target's gate has confirmed that it waits in the admission queue. */
   queued: boolean;
-  /** Nothing has been heard of it for long. */
-  dead: boolean;
+  /** There was no reply within {@link UNRESPONSIVE_MS}. */
+  unresponsive: boolean;
 }
 
 /**
- * Finds a target with a free slot for one request. Asking leaves no trace at a
- * target, so several may be asked at once, and a path that stays silent costs a few
- * tens of milliseconds and leaves nothing in doubt.
+ * Finds a target with a free slot for one request. A slot request runs nothing at a
+ * target, so several can be sent in parallel, and an unresponsive path costs a few
+ * tens of milliseconds but never leaves the outcome of the request unknown.
  */
 export class SlotFinder {
   readonly #deps: SlotFinderDeps;
-  readonly #request: PickContext;
+  readonly #context: PickContext;
   readonly #req: CallerRequest;
   readonly #tried: Set<TargetId>;
-  readonly #open = new Map<TargetId, OpenAsk>();
-  /** Targets that refused it as being under suspicion. */
+  readonly #openRequests = new Map<TargetId, OpenRequest>();
+  /** Targets that refused because they are suspect. */
   #suspects: SuspectTarget[] = [];
   #hasProbed = false;
-  /** Sound targets that had no room. */
-  #full = 0;
-  #queuedAt: number | undefined;
-  readonly #settle: (sought: SlotSearchResult) => void;
+  /** Number of targets that refused as full. */
+  #fullRefusals = 0;
+  #firstQueuedAt: number | undefined;
+  readonly #settle: (result: SlotSearchResult) => void;
   readonly #timers = new Set<Timer>();
   #retryAfterMs = Infinity;
   #reason = "no target of the service is known to take work";
-  #isUnknown = true;
+  #isTargetUnknown = true;
   #done = false;
 
-  /** Resolves once a slot was granted, or nobody is left to ask. */
-  readonly sought: Promise<SlotSearchResult>;
+  /** Resolves once a slot is granted, no target is left to try, the deadline passes or the search is cancelled. */
+  readonly result: Promise<SlotSearchResult>;
 
-  /** @param tried targets that had their chance with this request */
+  /** @param tried targets to exclude, since this request was already sent to them */
   constructor(
     deps: SlotFinderDeps,
     request: PickContext,
@@ -143,67 +145,72 @@
     tried: ReadonlySet<TargetId>,
   ) {
     this.#deps = deps;
-    this.#request = request;
+    this.#context = request;
     this.#req = req;
     this.#tried = new Set(tried);
-    let settle: (sought: SlotSearchResult) => void = () => undefined;
-    this.sought = new Promise((resolve) => (settle = resolve));
+    let settle: (result: SlotSearchResult) => void = () => undefined;
+    this.result = new Promise((resolve) => (settle = resolve));
     this.#settle = settle;
     this.#after(req.deadlineAt - deps.clock.now(), () => {
       this.#refuse("no slot came free in time");
     });
-    req.left.addEventListener("abort", this.#onLeft);
-    this.#askNext();
+    req.left.addEventListener("abort", this.#onCallerLeft);
+    this.#requestNext();
   }
 
-  /** Stops asking; asks under way are withdrawn. */
-  giveUp(): void {
+  /** Ends the search as refused and withdraws the open slot requests. */
+  cancel(): void {
     this.#refuse("this sidecar gave it up, as it is being stopped or another try was quicker");
   }
 
-  readonly #onLeft = (): void => {
+  readonly #onCallerLeft = (): void => {
     this.#refuse("the caller has left");
   };
 
-  /** Asks the next target, if another may be asked now. */
-  #askNext(): void {
+  /** Sends a slot request to the next target, if the limits allow one now; refuses when nothing is left to try or wait for. */
+  #requestNext(): void {
     if (this.#done) {
       return;
     }
-    const next = this.#underWay < MAX_ASKS && this.#full < MAX_FULL ? this.#next() : undefined;
-    const leastBad = next ? undefined : this.#leastBad();
+    const next =
+      this.#inFlight < MAX_CONCURRENT_REQUESTS && this.#fullRefusals < MAX_FULL_REFUSALS
+        ? this.#pickNext()
+        : undefined;
+    const leastRisky = next ? undefined : this.#pickLeastRisky();
     if (next) {
-      this.#ask(next);
-    } else if (leastBad) {
-      this.#ask(leastBad, { acceptsRisk: leastBad.acceptsRisk });
-    } else if (this.#open.size === 0) {
-      this.#askAsProbe();
+      this.#sendRequest(next);
+    } else if (leastRisky) {
+      this.#sendRequest(leastRisky, { acceptsRisk: leastRisky.acceptsRisk });
+    } else if (this.#openRequests.size === 0) {
+      this.#requestAsProbe();
     }
   }
 
-  #next(): PickedTarget | undefined {
-    return this.#deps.policy.pick(this.#request, this.#tried);
+  #pickNext(): PickedTarget | undefined {
+    return this.#deps.policy.pick(this.#context, this.#tried);
   }
 
   /**
-   * The least bad of those under suspicion, where that is better than to wait, or to be refused: at
-   * once where there is no sound target or none has room, and after a while in line.
+   * Picks the suspect or ejected target with the lowest risk, if its risk is acceptable: immediately when there is no
+   * healthy target or all tried are full, after `#grayDelayMs` when the request is queued at a healthy one.
    */
-  #leastBad(): (SuspectTarget & { acceptsRisk: number }) | undefined {
-    const isAlone = !this.#isInLine && this.#full === 0;
-    if (this.#underWay >= (isAlone ? MAX_ASKS : MAX_ASKS + 1)) {
+  #pickLeastRisky(): (SuspectTarget & { acceptsRisk: number }) | undefined {
+    const noHealthyTarget = !this.#isQueued && this.#fullRefusals === 0;
+    if (
+      this.#inFlight >= (noHealthyTarget ? MAX_CONCURRENT_REQUESTS : MAX_CONCURRENT_REQUESTS + 1)
+    ) {
       return undefined;
     }
-    const hasWaited = this.#deps.clock.now() - (this.#queuedAt ?? 0) >= this.#patienceMs;
-    if (this.#isInLine && !hasWaited) {
+    const hasWaited = this.#deps.clock.now() - (this.#firstQueuedAt ?? 0) >= this.#grayDelayMs;
+    if (this.#isQueued && !hasWaited) {
       return undefined;
     }
-    const known = this.#deps.policy.suspected(this.#request, this.#tried);
+    const known = this.#deps.policy.suspected(this.#context, this.#tried);
     const [best] = [...known, ...this.#suspects].sort((a, b) => a.risk - b.risk);
     if (!best) {
       return undefined;
     }
-    const acceptsRisk = this.#acceptedRisk(best, isAlone);
+    const acceptsRisk = this.#maxAcceptedRisk(best, noHealthyTarget);
     if (best.risk > acceptsRisk) {
       return undefined;
     }
@@ -211,87 +218,93 @@
     return { ...best, acceptsRisk };
   }
 
-  #acceptedRisk({ isKept }: SuspectTarget, isAlone: boolean): number {
-    if (isAlone) {
-      return this.#request.isExpendable ? ANY_RISK : KEPT_RISK;
+  #maxAcceptedRisk({ isKept }: SuspectTarget, noHealthyTarget: boolean): number {
+    if (noHealthyTarget) {
+      return this.#context.isExpendable ? ANY_RISK : MAX_KEPT_RISK;
     }
-    return isKept ? KEPT_RISK : LEAST_BAD_RISK;
+    return isKept ? MAX_KEPT_RISK : MAX_GRAY_RISK;
   }
 
   /**
-   * Every sound target is full: asks one that is to be probed, as a request that has nothing to lose.
-   * Refused otherwise, it is the cheapest probe there is.
+   * Called when every healthy target is full: sends the request as a probe to a target that is due for one. The request
+   * would be refused otherwise, so it loses nothing, which makes it the cheapest probe available.
    */
-  #askAsProbe(): void {
-    const toProbe = this.#hasProbed
+  #requestAsProbe(): void {
+    const probe = this.#hasProbed
       ? undefined
-      : this.#deps.policy.pick({ ...this.#request, isExpendable: true }, this.#tried);
-    if (toProbe?.isProbe) {
+      : this.#deps.policy.pick({ ...this.#context, isExpendable: true }, this.#tried);
+    if (probe?.isProbe) {
       this.#hasProbed = true;
-      this.#ask(toProbe, { isExpendable: true });
+      this.#sendRequest(probe, { isExpendable: true });
     } else {
       this.#refuse(this.#reason);
     }
   }
 
-  get #underWay(): number {
-    return [...this.#open.values()].filter((o) => !o.dead).length;
+  get #inFlight(): number {
+    return [...this.#openRequests.values()].filter((o) => !o.unresponsive).length;
   }
 
-  /** A sound target is known to have it in its queue; one that stays silent may never have heard of it. */
-  get #isInLine(): boolean {
-    return [...this.#open.values()].some((o) => o.queued);
+  /** Whether a target has confirmed that the request is queued; one that does not reply may never have received it. */
+  get #isQueued(): boolean {
+    return [...this.#openRequests.values()].some((o) => o.queued);
   }
 
-  get #patienceMs(): number {
-    return this.#request.route.objectiveMs * PATIENCE_SHARE;
+  get #grayDelayMs(): number {
+    return this.#context.route.objectiveMs * GRAY_DELAY_SHARE;
   }
 
-  #ask({ target }: Pick<PickedTarget, "target">, over: Partial<SlotRequest> = {}): void {
+  #sendRequest(
+    { target }: Pick<PickedTarget, "target">,
+    overrides: Partial<SlotRequest> = {},
+  ): void {
     const { clock } = this.#deps;
     this.#tried.add(target.id);
-    const askedAt = clock.now();
-    const words = { ...this.#words(target, askedAt), ...over };
-    const pending = this.#deps.requestSlot(target.askAddress, words, (load) => {
+    const sentAt = clock.now();
+    const slotRequest = { ...this.#buildRequest(target, sentAt), ...overrides };
+    const pending = this.#deps.requestSlot(target.askAddress, slotRequest, (load) => {
       this.#onQueued(target, load);
     });
-    const { acceptsRisk } = words;
-    this.#open.set(target.id, {
+    const { acceptsRisk } = slotRequest;
+    this.#openRequests.set(target.id, {
       target,
       pending,
-      askedAt,
+      sentAt,
       acceptsRisk,
       queued: false,
-      dead: false,
+      unresponsive: false,
     });
     void pending.answer.then((reply) => {
       this.#onReply(target, reply);
     });
-    this.#after(SILENCE_MS, () => {
-      this.#ifSilent(target, () => {
-        this.#askNext();
+    this.#after(NEXT_AFTER_SILENCE_MS, () => {
+      this.#ifUnanswered(target, () => {
+        this.#requestNext();
       });
     });
-    this.#after(DEAD_MS, () => {
-      this.#ifSilent(target, (open) => {
-        open.dead = true;
-        this.#deps.log.info({ attempt: this.#req.attempt, target: target.id }, "ask unanswered");
+    this.#after(UNRESPONSIVE_MS, () => {
+      this.#ifUnanswered(target, (open) => {
+        open.unresponsive = true;
+        this.#deps.log.info(
+          { attempt: this.#req.attempt, target: target.id },
+          "slot request unanswered",
+        );
         this.#deps.policy.noteTimeout(target);
-        this.#askNext();
+        this.#requestNext();
       });
     });
-    this.#after(GONE_MS, () => {
-      this.#ifSilent(target, (open) => {
-        this.#open.delete(target.id);
+    this.#after(ABANDON_MS, () => {
+      this.#ifUnanswered(target, (open) => {
+        this.#openRequests.delete(target.id);
         open.pending.giveUp();
         this.#reason = "no sidecar beside a target could be reached";
-        this.#askNext();
+        this.#requestNext();
       });
     });
   }
 
-  #words(target: TargetInfo, now: number): SlotRequest {
-    const { route, isExpendable, isCall = false } = this.#request;
+  #buildRequest(target: TargetInfo, now: number): SlotRequest {
+    const { route, isExpendable, isCall = false } = this.#context;
     const { priority, objectiveMs } = route;
     const { attempt, startedAt, deadlineAt, body, bodyLength = 0 } = this.#req;
     return {
@@ -311,79 +324,79 @@
 
   #onQueued(target: TargetInfo, load: GateLoad): void {
     this.#deps.policy.noteQueued(target, load);
-    const open = this.#open.get(target.id);
+    const open = this.#openRequests.get(target.id);
     if (!open || open.queued || this.#done) {
       return;
     }
     open.queued = true;
-    this.#queuedAt ??= this.#deps.clock.now();
-    for (const ms of [QUEUED_MS, this.#patienceMs]) {
+    this.#firstQueuedAt ??= this.#deps.clock.now();
+    for (const ms of [NEXT_AFTER_QUEUED_MS, this.#grayDelayMs]) {
       this.#after(ms, () => {
-        this.#askNext();
+        this.#requestNext();
       });
     }
   }
 
   #onReply(target: TargetInfo, reply: SlotReply): void {
-    const open = this.#open.get(target.id);
+    const open = this.#openRequests.get(target.id);
     if (!open || this.#done) {
       return;
     }
-    const ms = open.queued ? undefined : this.#deps.clock.now() - open.askedAt;
+    const ms = open.queued ? undefined : this.#deps.clock.now() - open.sentAt;
     this.#deps.policy.noteReply(target, reply, ms);
-    this.#open.delete(target.id);
+    this.#openRequests.delete(target.id);
     if (reply.kind === "granted") {
-      const waitedMs = Math.round(this.#deps.clock.now() - open.askedAt);
-      this.#deps.policy.noteWait(this.#request.route, waitedMs);
+      const waitedMs = Math.round(this.#deps.clock.now() - open.sentAt);
+      this.#deps.policy.noteWait(this.#context.route, waitedMs);
       const { attempt } = this.#req;
       const { load } = reply;
       const { acceptsRisk } = open;
-      const how = { asked: this.#tried.size, acceptsRisk, waitedMs };
-      this.#deps.log.info({ attempt, target: target.id, ...how, load }, "slot granted");
-      this.#end({ kind: "granted", grant: { target, id: reply.grant } });
+      const details = { asked: this.#tried.size, acceptsRisk, waitedMs };
+      this.#deps.log.info({ attempt, target: target.id, ...details, load }, "slot granted");
+      this.#finish({ kind: "granted", grant: { target, id: reply.grant } });
       return;
     }
     if (reply.reason === RefusalReason.Suspect) {
       this.#suspects.push({ target, risk: reply.load.risk, isKept: false });
     }
-    this.#full += reply.reason === RefusalReason.Full ? 1 : 0;
-    this.#isUnknown &&= reply.reason === RefusalReason.NoTarget;
+    this.#fullRefusals += reply.reason === RefusalReason.Full ? 1 : 0;
+    this.#isTargetUnknown &&= reply.reason === RefusalReason.NoTarget;
     this.#retryAfterMs = Math.min(this.#retryAfterMs, reply.retryAfterMs);
     this.#reason = `every target refused, the last one as ${reply.reason}`;
-    this.#askNext();
+    this.#requestNext();
   }
 
-  #ifSilent(target: TargetInfo, act: (open: OpenAsk) => void): void {
-    const open = this.#open.get(target.id);
+  #ifUnanswered(target: TargetInfo, callback: (open: OpenRequest) => void): void {
+    const open = this.#openRequests.get(target.id);
     if (open && !open.queued && !this.#done) {
-      act(open);
+      callback(open);
     }
   }
 
   #refuse(reason: string): void {
     const retryAfterMs = Number.isFinite(this.#retryAfterMs) ? this.#retryAfterMs : RETRY_AFTER_MS;
-    this.#end({ kind: "refused", reason, retryAfterMs, isUnknown: this.#isUnknown });
+    this.#finish({ kind: "refused", reason, retryAfterMs, isTargetUnknown: this.#isTargetUnknown });
   }
 
-  #end(sought: SlotSearchResult): void {
+  #finish(result: SlotSearchResult): void {
     if (this.#done) {
       return;
     }
     this.#done = true;
-    this.#req.left.removeEventListener("abort", this.#onLeft);
+    this.#req.left.removeEventListener("abort", this.#onCallerLeft);
     this.#timers.forEach((t) => {
       t.cancel();
     });
-    for (const { pending } of this.#open.values()) {
+    for (const { pending } of this.#openRequests.values()) {
       pending.giveUp();
     }
-    this.#settle(sought);
+    this.#settle(result);
   }
 
-  #after(ms: number, act: () => void): void {
+  #after(ms: number, callback: () => void): void {
     const timer = this.#deps.clock.after(Math.max(0, ms), () => {
       this.#timers.delete(timer);
-      act();
+      callback();
     });
     this.#timers.add(timer);
   }
