--- a/src/sidecar/routing/SlotFinder.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -285,10 +285,7 @@
     this.#after(UNRESPONSIVE_MS, () => {
       this.#ifUnanswered(target, (open) => {
         open.unresponsive = true;
-        this.#deps.log.info(
-          { attempt: this.#req.attempt, target: target.id },
-          "slot request unanswered",
-        );
+        this.#deps.log.info({ attempt: this.#req.attempt, target: target.id }, "ask unanswered");
         this.#deps.policy.noteTimeout(target);
         this.#requestNext();
       });
