--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -13,86 +13,86 @@
 import type { RoutingPolicy } from "./RoutingPolicy.ts";
 import { RemoteRun } from "./RemoteRun.ts";
 
-/** What is sent beside first tries: a retry, or a second run beside a stuck one. */
+/** Why a request is sent again: as a retry after a failure, or as a hedge in parallel to a stuck run. */
 type ExtraRunCause = "retry" | "hedge";
 
-/** What the dispatcher needs from the rest of the sidecar; passed in so tests can fake each. */
+/** Dependencies of the dispatcher; injected so that tests can fake each. */
 interface DispatcherDeps {
   readonly policy: RoutingPolicy;
   readonly hop: HopLink;
-  /** The service beside which this sidecar's callers' requests begin; empty when there is none. */
+  /** Name of the service whose target is co-located with this sidecar and its callers; empty if there is none. */
   readonly callerService: string;
   readonly budgets: RetryBudgets;
-  /** Leave for retries from other sidecars, where this one's own part is used up; left out, there is none. */
+  /** Borrows retry tokens from other sidecars when this one's share of the retry budget is used up; without it, none are borrowed. */
   readonly borrower?: Pick<RetryTokenBorrower, "borrow">;
-  /** This sidecar has just started, and may not know all targets yet; left out, it never has. */
+  /** Whether this sidecar has started recently, and may not know all targets yet; false if left out. */
   readonly isStarting?: () => boolean;
-  /** Tells calls that targets make from callers' own requests; left out, all are callers' own. */
+  /** Distinguishes nested calls from callers' own requests; without it, all requests count as callers' own. */
   readonly calls?: Pick<TrafficClassifier, "begin">;
-  /** Told of each request that is sent to a further target. */
+  /** Called for each retry or hedge that is sent. */
   readonly onExtraTry?: (service: string, cause: ExtraRunCause) => void;
-  /** Told of a retry that the service's budget had no room for. */
+  /** Called for each retry or hedge that is not sent because the service's retry budget is used up. */
   readonly onDenied?: (service: string) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
 
 /**
- * An idempotent request still unanswered after this many times its usual time is sent
- * to a second target beside the first: it is stuck rather than slow. One in a few
- * hundred healthy answers takes that long.
+ * Multiple of the typical time after which an idempotent request without a response is
+ * also sent to a second target: it is probably stuck rather than slow, since only one in a
+ * few hundred responses of healthy targets takes that long.
  */
 const HEDGE_FACTOR = 2.5;
 
-/** Grants that ran out before they were taken, as on a machine that stood still; then another target's turn comes. */
+/** Grants of one request that may expire, as after a pause of the machine, before targets with expired grants are excluded. */
 const MAX_EXPIRED_BEFORE_SWITCH = 3;
 
 /**
- * Grants of one request that may run out before it is given up. Its way to the targets is too slow then: sent on and on, it
- * would only make it slower for the others.
+ * Grants of one request that may expire before the request is refused. The path to the targets is too slow by then, and
+ * sending the request again would only slow it further for other requests.
  */
 const MAX_EXPIRED_TOTAL = 6;
 
-/** Times that one request is sent to a target that then refuses it, at most. */
+/** Maximum number of times that one request is sent to a target which then refuses to run it. */
 const MAX_REFUSED_SENDS = 4;
 
 /**
- * While the fleet starts, a request that finds no target is tried again this often, and for
- * this long after it came, ms. Targets announce themselves within 0.6 s of their sidecars'
- * return; a request refused before could have been served within its objective.
+ * Interval, and limit since the arrival of the request, of retries while this sidecar starts and a request finds no
+ * target, ms. Targets announce themselves within 0.6 s of their sidecars' restart, so a request refused
+ * sooner could still have been served within its objective.
  */
 const STARTUP_RETRY_MS = 50;
 const STARTUP_HOLD_MS = 800;
 
 /**
- * A call that every target has refused is asked for again after this long, ms, and then after twice as long each
- * time: a refusal here loses the run that makes it, and a place in line may be free by then.
+ * First delay before a nested call that every target refused is tried again, ms; doubled each time. Refusing the call
+ * would fail the run that makes it, and there may be room in an admission queue by then.
  */
 const NESTED_CALL_BACKOFF_MS = 50;
 
-/** The state of one request on its way. */
+/** Progress of one request through the dispatcher. */
 interface DispatchState {
   readonly route: RouteMatch;
   readonly req: CallerRequest;
-  /** A target makes it in the midst of a run. */
+  /** It is made by a target during a run. */
   readonly isNestedCall: boolean;
-  /** Targets that had their chance. */
+  /** Targets that are not to be tried again. */
   readonly tried: Set<TargetId>;
-  /** Targets that it was sent to and that may have run it. */
+  /** Number of targets that it was sent to and that may have run it. */
   sends: number;
-  /** Sends that a target refused. */
+  /** Number of sends that a target refused to run. */
   refusedSends: number;
-  /** Times that no target would take it. */
+  /** Number of searches in which every target refused it, counted for nested calls. */
   refusals: number;
-  /** Grants that ran out before the request got there. */
+  /** Number of grants that expired before the request reached the target. */
   expired: number;
 }
 
 /**
- * Runs one caller's request to its end: finds a target with a free slot, has the
- * request run there, and retries by the verdict rules. An idempotent request may be
- * retried on another target after any failure, and is sent to a second one when the
- * first is stuck; one that is not idempotent only after a not-run, since a retry after
+ * Serves callers' requests: finds a target with a free slot, runs the request there
+ * and retries according to the verdict. An idempotent request may be retried on
+ * another target after any failure, and is hedged when its run is stuck. A request
+ * that is not idempotent is retried only after a not-run, since a retry after
  * may-have-run could run it twice. Retries stay within the route's attempts, the
  * deadline and the service's retry budget.
  */
@@ -108,9 +108,9 @@
   /** Forwards `req` along `route`; always resolves with a verdict. */
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     const { calls, budgets } = this.#deps;
-    const begun = calls?.begin(route, req.origin);
-    const isCall = begun?.isCall ?? false;
-    if (begun?.isOwn ?? true) {
+    const classified = calls?.begin(route, req.origin);
+    const isNestedCall = classified?.isCall ?? false;
+    if (classified?.isOwn ?? true) {
       budgets.onFirstTry(route);
     }
     const tried = new Set<TargetId>();
@@ -118,49 +118,49 @@
     const result = await this.#dispatchWithRetries({
       route,
       req,
-      isNestedCall: isCall,
+      isNestedCall,
       tried,
       ...counts,
     });
-    begun?.end(isSuccess(result));
+    classified?.end(isSuccess(result));
     return result;
   }
 
-  async #dispatchWithRetries(course: DispatchState): Promise<ForwardResult> {
-    const { route, req, tried } = course;
+  async #dispatchWithRetries(state: DispatchState): Promise<ForwardResult> {
+    const { route, req, tried } = state;
     let last: ForwardResult | undefined;
     for (;;) {
-      const sought = await this.#findSlot(course).result;
-      if (sought.kind === "refused") {
-        if (sought.isTargetUnknown && this.#mayAwaitTarget(req)) {
+      const search = await this.#findSlot(state).result;
+      if (search.kind === "refused") {
+        if (search.isTargetUnknown && this.#mayAwaitTarget(req)) {
           await this.#delay(STARTUP_RETRY_MS);
           continue;
         }
-        if (this.#mayAwaitRoom(course)) {
-          await this.#delay(NESTED_CALL_BACKOFF_MS * 2 ** course.refusals++);
+        if (this.#mayAwaitRoom(state)) {
+          await this.#delay(NESTED_CALL_BACKOFF_MS * 2 ** state.refusals++);
           continue;
         }
-        return last ?? notRun(sought);
+        return last ?? notRun(search);
       }
-      const newest = await this.#runHedged(course, sought.grant);
-      last = moreInformative(last, newest);
-      course.expired += isExpired(newest) ? 1 : 0;
-      if (isExpired(newest) && course.expired <= MAX_EXPIRED_BEFORE_SWITCH) {
-        tried.delete(sought.grant.target.id);
+      const latest = await this.#runHedged(state, search.grant);
+      last = moreInformative(last, latest);
+      state.expired += isExpired(latest) ? 1 : 0;
+      if (isExpired(latest) && state.expired <= MAX_EXPIRED_BEFORE_SWITCH) {
+        tried.delete(search.grant.target.id);
       }
-      if (!(await this.#mayRetry(course, newest))) {
+      if (!(await this.#mayRetry(state, latest))) {
         return last;
       }
       const { attempt } = req;
       this.#deps.onExtraTry?.(route.service.name, "retry");
-      this.#deps.log.info({ attempt, verdict: newest.verdict, sends: course.sends }, "retrying");
+      this.#deps.log.info({ attempt, verdict: latest.verdict, sends: state.sends }, "retrying");
     }
   }
 
   /**
-   * Refuses every request that has no slot yet, as not run, and any that comes later: this
-   * sidecar ends soon, and a caller whose connection is closed instead does not know that
-   * it may come back. Requests at a target go on.
+   * Refuses every request without a slot, and any later one, as not run. This sidecar exits
+   * soon, and a caller whose connection is closed without a response can't know that the
+   * request is safe to repeat. Requests that are running at a target continue.
    */
   close(): void {
     this.#closed = true;
@@ -169,30 +169,30 @@
     }
   }
 
-  /** Whether a target may come to be known soon, with the caller still there. */
+  /** Whether to retry a search that found no target: one may announce itself soon, and the caller is still connected. */
   #mayAwaitTarget({ startedAt, deadlineAt, left }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
     const holdUntil = Math.min(startedAt + STARTUP_HOLD_MS, deadlineAt);
     return isStarting?.() === true && clock.now() < holdUntil && !left.aborted && !this.#closed;
   }
 
-  /** Whether a call that was refused may be asked for again, and served in time then. */
-  #mayAwaitRoom({ route, req, isNestedCall: isCall, refusals }: DispatchState): boolean {
+  /** Whether to retry the search for a nested call that was refused: it can still be served before its deadline. */
+  #mayAwaitRoom({ route, req, isNestedCall, refusals }: DispatchState): boolean {
     const { clock, policy } = this.#deps;
-    const from = clock.now() + NESTED_CALL_BACKOFF_MS * 2 ** refusals;
-    const isInTime = from + policy.typicalMs(route) < req.deadlineAt;
-    return isCall && isInTime && !req.left.aborted && !this.#closed;
+    const retryAt = clock.now() + NESTED_CALL_BACKOFF_MS * 2 ** refusals;
+    const isInTime = retryAt + policy.typicalMs(route) < req.deadlineAt;
+    return isNestedCall && isInTime && !req.left.aborted && !this.#closed;
   }
 
   #delay(ms: number): Promise<void> {
     return new Promise((resolve) => this.#deps.clock.after(ms, resolve));
   }
 
-  #findSlot(course: DispatchState): SlotFinder {
+  #findSlot(state: DispatchState): SlotFinder {
     const { policy, hop, clock, log } = this.#deps;
     const requestSlot: HopLink["requestSlot"] = (...args) => hop.requestSlot(...args);
-    const { route, req, tried, isNestedCall: isCall } = course;
-    const request = { route, isCall, isExpendable: this.#hasSpareAttempt(course) };
+    const { route, req, tried, isNestedCall } = state;
+    const request = { route, isCall: isNestedCall, isExpendable: this.#hasSpareAttempt(state) };
     const finder = new SlotFinder({ policy, requestSlot, clock, log }, request, req, tried);
     this.#finders.add(finder);
     void finder.result.then(() => this.#finders.delete(finder));
@@ -202,13 +202,13 @@
     return finder;
   }
 
-  /** Runs the request where it was granted a slot, and at a second target when the first is stuck. */
-  async #runHedged(course: DispatchState, grant: Grant): Promise<ForwardResult> {
-    const first = this.#startRun(course, grant);
-    if (!this.#mayRepeat(course)) {
+  /** Runs the request at the granted target, and also at a second one when the first run is stuck. */
+  async #runHedged(state: DispatchState, grant: Grant): Promise<ForwardResult> {
+    const first = this.#startRun(state, grant);
+    if (!this.#mayRepeat(state)) {
       return first.result;
     }
-    const hedge = this.#scheduleHedge(course);
+    const hedge = this.#scheduleHedge(state);
     const winner = await Promise.race([first.result, hedge.result]);
     hedge.cancel();
     if (winner === undefined) {
@@ -219,13 +219,13 @@
       hedge.giveUp();
       return winner;
     }
-    // The sooner one failed: the other, if there is one, may still be good.
+    // The first result is a failure; the other run, if there is one, may still succeed.
     const [a, b] = await Promise.all([first.result, hedge.started ? hedge.result : undefined]);
     return b && isSuccess(b) ? b : moreInformative(b, a);
   }
 
-  /** A second run that starts when the first is stuck; its result is undefined when it never starts. */
-  #scheduleHedge(course: DispatchState) {
+  /** Schedules a second run for when the first is stuck; its result stays pending while it hasn't started. */
+  #scheduleHedge(state: DispatchState) {
     const { clock, policy, log, onExtraTry } = this.#deps;
     let run: RemoteRun | undefined;
     let finder: SlotFinder | undefined;
@@ -242,18 +242,18 @@
       },
       giveUp: () => run?.giveUp(),
     };
-    const timer = clock.after(policy.typicalMs(course.route) * HEDGE_FACTOR, () => {
-      if (!this.#deps.budgets.tryRetry(course.route)) {
-        this.#reportDenied(course, "hedge");
+    const timer = clock.after(policy.typicalMs(state.route) * HEDGE_FACTOR, () => {
+      if (!this.#deps.budgets.tryRetry(state.route)) {
+        this.#reportDenied(state, "hedge");
         return;
       }
-      finder = this.#findSlot(course);
-      void finder.result.then((sought) => {
-        if (sought.kind === "granted") {
-          onExtraTry?.(course.route.service.name, "hedge");
-          log.info({ attempt: course.req.attempt, target: sought.grant.target.id }, "hedging");
+      finder = this.#findSlot(state);
+      void finder.result.then((search) => {
+        if (search.kind === "granted") {
+          onExtraTry?.(state.route.service.name, "hedge");
+          log.info({ attempt: state.req.attempt, target: search.grant.target.id }, "hedging");
           hedge.started = true;
-          run = this.#startRun(course, sought.grant);
+          run = this.#startRun(state, search.grant);
           void run.result.then(settle);
         }
       });
@@ -261,11 +261,11 @@
     return hedge;
   }
 
-  #startRun(course: DispatchState, grant: Grant): RemoteRun {
+  #startRun(state: DispatchState, grant: Grant): RemoteRun {
     const { hop, callerService, clock, log, policy } = this.#deps;
-    const { route, req } = course;
-    course.tried.add(grant.target.id);
-    course.sends += 1;
+    const { route, req } = state;
+    state.tried.add(grant.target.id);
+    state.sends += 1;
     const end = policy.begin(route, grant.target);
     const onSilence = () => {
       policy.noteTimeout(grant.target);
@@ -278,60 +278,63 @@
         this.#deps.budgets.noteCalls(route, result.calls);
       }
       if (result.verdict.kind === "not-run") {
-        course.sends -= 1;
+        state.sends -= 1;
       }
     });
     return run;
   }
 
-  async #mayRetry(course: DispatchState, last: ForwardResult): Promise<boolean> {
-    const { req } = course;
+  async #mayRetry(state: DispatchState, last: ForwardResult): Promise<boolean> {
+    const { req } = state;
     if (req.left.aborted || this.#deps.clock.now() >= req.deadlineAt) {
       return false;
     }
     switch (last.verdict.kind) {
       case "not-run":
-        return last.verdict.status === undefined && this.#mayResend(course, last);
+        return last.verdict.status === undefined && this.#mayResend(state, last);
       case "in-progress":
         return false;
       case "may-have-run":
-        return this.#mayRepeat(course) && this.#takeRetryToken(course);
+        return this.#mayRepeat(state) && this.#takeRetryToken(state);
       case "done":
         return (
           last.outcome === AttemptOutcome.Failed &&
-          this.#mayRepeat(course) &&
-          this.#takeRetryToken(course)
+          this.#mayRepeat(state) &&
+          this.#takeRetryToken(state)
         );
     }
   }
 
-  /** Another try is left beside the next one, should it fail; a loan for that is not sure enough to risk a gray target for. */
+  /**
+   * Whether the request can be retried if its next run fails. Borrowed retry tokens are not counted: they are too
+   * uncertain to justify sending the request to a gray target.
+   */
   #hasSpareAttempt({ route, req, sends }: DispatchState): boolean {
     const isRepeatable = route.idempotent && !isStream(req.body);
     return isRepeatable && sends + 1 < route.attempts && this.#deps.budgets.hasRoom(route);
   }
 
   #mayRepeat({ route, req, sends }: DispatchState): boolean {
-    // A body that was passed on as it came is gone.
+    // A streamed body was not buffered and can't be sent again.
     return route.idempotent && sends < route.attempts && !isStream(req.body);
   }
 
-  /** After a not-run: one that a target itself refused has reached it, and costs a token. */
-  async #mayResend(course: DispatchState, last: ForwardResult): Promise<boolean> {
-    if (isStream(course.req.body)) {
+  /** Whether to send the request again after a not-run. If the target itself refused it, the request reached the target, so this takes a retry token. */
+  async #mayResend(state: DispatchState, last: ForwardResult): Promise<boolean> {
+    if (isStream(state.req.body)) {
       return false;
     }
     if (last.outcome !== AttemptOutcome.Shed) {
-      return course.expired <= MAX_EXPIRED_TOTAL;
+      return state.expired <= MAX_EXPIRED_TOTAL;
     }
-    course.refusedSends += 1;
-    return course.refusedSends <= MAX_REFUSED_SENDS && this.#takeRetryToken(course);
+    state.refusedSends += 1;
+    return state.refusedSends <= MAX_REFUSED_SENDS && this.#takeRetryToken(state);
   }
 
-  /** Takes leave for a further send from the service's retry budget, here or elsewhere; tells of it where there is none left. */
-  async #takeRetryToken(course: DispatchState): Promise<boolean> {
+  /** Takes a retry token for the service from this sidecar's budget, or borrows from another sidecar; false and reported if there is none. */
+  async #takeRetryToken(state: DispatchState): Promise<boolean> {
     const { budgets, borrower, log } = this.#deps;
-    const { route, req } = course;
+    const { route, req } = state;
     if (budgets.tryRetry(route)) {
       return true;
     }
@@ -340,7 +343,7 @@
       log.info({ attempt: req.attempt, costs }, "retry tokens borrowed");
       return !req.left.aborted;
     }
-    this.#reportDenied(course, "retry");
+    this.#reportDenied(state, "retry");
     return false;
   }
 
@@ -358,16 +361,16 @@
 }
 
 /**
- * Of the results of two tries the one that tells what became of the request: a target that refuses it after
- * another one has failed it, or may have run it, does not make it a request that has not run. Without this, callers
- * were told "not run" of lookups that a gray target had worked on.
+ * Returns the result that describes the request's outcome: a later not-run doesn't replace a result after which
+ * the request ran or may have run. Without this rule, callers received "not run" for lookups that a gray target had
+ * worked on.
  */
-function moreInformative(before: ForwardResult | undefined, newest: ForwardResult): ForwardResult {
-  const hides = newest.verdict.kind === "not-run" && before?.verdict.kind !== "not-run";
-  return before && hides ? before : newest;
+function moreInformative(earlier: ForwardResult | undefined, latest: ForwardResult): ForwardResult {
+  const hides = latest.verdict.kind === "not-run" && earlier?.verdict.kind !== "not-run";
+  return earlier && hides ? earlier : latest;
 }
 
-/** The grant ran out, or was taken back, before the request got to the target. */
+/** Whether the grant expired or was withdrawn before the request reached the target. */
 function isExpired({ verdict, outcome }: ForwardResult): boolean {
   return verdict.kind === "not-run" && outcome === AttemptOutcome.Cancelled;
 }
@@ -376,7 +379,7 @@
   return body !== undefined && !Buffer.isBuffer(body);
 }
 
-function notRun(sought: Extract<SlotSearchResult, { kind: "refused" }>): ForwardResult {
-  const { reason, retryAfterMs } = sought;
+function notRun(search: Extract<SlotSearchResult, { kind: "refused" }>): ForwardResult {
+  const { reason, retryAfterMs } = search;
   return { verdict: { kind: "not-run", reason, retryAfterMs }, outcome: AttemptOutcome.Shed };
 }
