--- a/src/sidecar/routing/Dispatcher.test.ts
+++ b/src/sidecar/routing/Dispatcher.test.ts
@@ -19,16 +19,16 @@
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 const targets = ["a", "b", "c"].map((id) => makeTarget(id, { hopAddress: id, askAddress: id }));
 
-/** A dispatcher over three targets whose sidecars a test plays. */
+/** A dispatcher with three targets, whose sidecars' replies the test controls. */
 function rig(
   slack = 100,
-  known = targets,
+  knownTargets = targets,
   isStarting = () => false,
   borrow = () => Promise.resolve(false),
 ) {
   const clock = new FakeClock();
   const hop = new FakeHop();
-  const policy = new FixedPolicy(known);
+  const policy = new FixedPolicy(knownTargets);
   const runs = new ActiveRuns(clock);
   const dispatcher = new Dispatcher({
     policy,
@@ -55,73 +55,79 @@
 const cases: readonly {
   name: string;
   idempotent: boolean;
-  answers: readonly ForwardResult[];
+  sendResults: readonly ForwardResult[];
   sends: number;
   verdict: ForwardResult["verdict"]["kind"];
 }[] = [
-  { name: "lookup done first time", idempotent: true, answers: [done], sends: 1, verdict: "done" },
   {
-    name: "lookup retried after may-have-run",
+    name: "lookup that succeeds is sent once",
     idempotent: true,
-    answers: [inDoubt, done],
+    sendResults: [done],
+    sends: 1,
+    verdict: "done",
+  },
+  {
+    name: "lookup is retried after may-have-run",
+    idempotent: true,
+    sendResults: [inDoubt, done],
     sends: 2,
     verdict: "done",
   },
   {
-    name: "lookup retried after not-run",
+    name: "lookup is retried after not-run",
     idempotent: true,
-    answers: [shed, shed, done],
+    sendResults: [shed, shed, done],
     sends: 3,
     verdict: "done",
   },
   {
-    name: "lookup gives up after its attempts",
+    name: "lookup is not sent more often than the route's attempts",
     idempotent: true,
-    answers: [shed, shed, shed, done],
+    sendResults: [shed, shed, shed, done],
     sends: 3,
     verdict: "not-run",
   },
   {
-    name: "booking retried after not-run",
+    name: "booking is retried after not-run",
     idempotent: false,
-    answers: [shed, done],
+    sendResults: [shed, done],
     sends: 2,
     verdict: "done",
   },
   {
-    name: "lookup retried after a target's own error",
+    name: "lookup is retried after an error response of a target",
     idempotent: true,
-    answers: [failed, done],
+    sendResults: [failed, done],
     sends: 2,
     verdict: "done",
   },
   {
-    name: "booking that a target answered with an error is not sent again",
+    name: "booking is not repeated after an error response of a target",
     idempotent: false,
-    answers: [failed, done],
+    sendResults: [failed, done],
     sends: 1,
     verdict: "done",
   },
-  // Told that it has not run, a caller believes that nothing happened; the first target had worked on it.
+  // A "not run" would tell the caller that nothing happened, although the first target has worked on the request.
   {
-    name: "lookup that one target failed and the others refuse has run",
+    name: "lookup that one target failed and the others refused is not reported as not-run",
     idempotent: true,
-    answers: [failed, shed, shed],
+    sendResults: [failed, shed, shed],
     sends: 3,
     verdict: "done",
   },
   {
-    name: "lookup that is in doubt at one target and that the others refuse may have run",
+    name: "lookup with an unknown outcome at one target that the others refused is not reported as not-run",
     idempotent: true,
-    answers: [inDoubt, shed, shed],
+    sendResults: [inDoubt, shed, shed],
     sends: 3,
     verdict: "may-have-run",
   },
-  // A booking that may have run must not be sent again: a second run sends a van twice.
+  // A booking that may have run must not be sent again: a second run would send a van twice.
   {
-    name: "booking never retried after may-have-run",
+    name: "booking is never repeated after may-have-run",
     idempotent: false,
-    answers: [inDoubt, done],
+    sendResults: [inDoubt, done],
     sends: 1,
     verdict: "may-have-run",
   },
@@ -130,8 +136,8 @@
 for (const c of cases) {
   test(`dispatch: ${c.name}`, async (t) => {
     const { hop, dispatcher } = rig();
-    const answers = [...c.answers];
-    hop.onRun = () => answers.shift() ?? shed;
+    const remainingResults = [...c.sendResults];
+    hop.onRun = () => remainingResults.shift() ?? shed;
     const out = await dispatcher.dispatch(
       makeRoute({ idempotent: c.idempotent }),
       makeCallerRequest(),
@@ -144,13 +150,13 @@
 }
 
 const refusals: readonly { name: string; onAsk: FakeHop["onAsk"]; known: boolean }[] = [
-  { name: "no target known", onAsk: () => refused(), known: false },
+  { name: "no known target", onAsk: () => refused(), known: false },
   { name: "every target full", onAsk: () => refused(), known: true },
   { name: "every target leaving", onAsk: () => refused(RefusalReason.Leaving), known: true },
 ];
 
 for (const c of refusals) {
-  test(`dispatch: ${c.name} is not-run at once, and nothing is sent`, async (t) => {
+  test(`dispatch: ${c.name} ends the request as not-run at once, without sending it`, async (t) => {
     const { hop, dispatcher, clock } = rig(100, c.known ? targets : []);
     hop.onAsk = c.onAsk;
     const out = await dispatcher.dispatch(makeRoute(), makeCallerRequest());
@@ -161,9 +167,9 @@
   });
 }
 
-test("dispatch: a request waits for room instead of being refused", async (t) => {
-  // Story: all targets are busy for the moment a request takes. A caller that comes
-  // then should wait in the queue beside one of them, not be sent away.
+test("dispatch: a request is queued while all targets are busy instead of being refused", async (t) => {
+  // All targets are busy for about the duration of one request. A request that arrives then should
+  // wait in an admission queue rather than be refused.
   const { hop, dispatcher, clock } = rig();
   hop.onAsk = () => undefined;
   hop.onRun = () => done;
@@ -171,18 +177,21 @@
   await clock.advance(5);
   hop.asks[0]?.call.onAlive();
   await clock.advance(200);
-  t.is(hop.asks.length, 3, "all three are asked meanwhile");
+  t.is(hop.asks.length, 3, "a slot is requested from all three");
   hop.asks[1]?.call.answer(granted);
   t.is((await out).verdict.kind, "done");
   t.deepEqual(
     hop.runs.map((r) => r.address),
     ["b"],
   );
-  t.true(hop.asks[0]?.call.givenUp && hop.asks[2]?.call.givenUp, "the others are withdrawn");
+  t.true(
+    hop.asks[0]?.call.givenUp && hop.asks[2]?.call.givenUp,
+    "the other slot requests are withdrawn",
+  );
 });
 
-test("dispatch: a lookup that is stuck is sent to a second target beside the first", async (t) => {
-  // Story: a target takes a lookup and hangs. The clerk must not wait for the timeout.
+test("dispatch: a lookup that is stuck is hedged at a second target", async (t) => {
+  // A target accepts a lookup and hangs. The caller must not have to wait for the timeout.
   const { hop, dispatcher, clock } = rig();
   hop.onRun = (address) => (address === "a" ? undefined : done);
   const out = dispatcher.dispatch(makeRoute(), makeCallerRequest());
@@ -194,10 +203,10 @@
     hop.runs.map((r) => r.address),
     ["a", "b"],
   );
-  t.true(hop.runs[0]?.call.givenUp, "the stuck one is cancelled");
+  t.true(hop.runs[0]?.call.givenUp, "the stuck run is cancelled");
 });
 
-test("dispatch: a booking is never sent to a second target beside the first", async (t) => {
+test("dispatch: a booking is never hedged", async (t) => {
   const { hop, dispatcher, clock } = rig();
   const out = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   for (let i = 0; i < 5; i++) {
@@ -208,19 +217,19 @@
   t.is(hop.runs.length, 1);
 });
 
-test("dispatch: a booking whose grant had run out asks again, at the same target if need be", async (t) => {
-  // Story: a sidecar on a slowed machine takes its grant too late. Nothing has run, so
-  // it must not count as the target's failure, even where there is no other target.
+test("dispatch: a booking whose grant expired requests another slot, at the same target if there is no other", async (t) => {
+  // A sidecar on a slow machine uses its grant after it expired. Nothing has run, so the
+  // target must not be excluded as failed, even if it is the only one.
   const { hop, dispatcher } = rig(0, targets.slice(0, 1));
-  const answers = [expired, expired, done];
-  hop.onRun = () => answers.shift() ?? shed;
+  const remainingResults = [expired, expired, done];
+  hop.onRun = () => remainingResults.shift() ?? shed;
   const out = await dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   t.is(out.verdict.kind, "done");
   t.is(hop.runs.length, 3);
 });
 
-test("dispatch: an empty retry budget ends the retries", async (t) => {
-  // Story: a service fails everything. Every lookup sent again doubles its load.
+test("dispatch: no retries are sent once the retry budget is used up", async (t) => {
+  // A service fails all requests. Retrying every lookup would double its load.
   const { hop, dispatcher } = rig(0);
   hop.onRun = () => failed;
   for (let i = 0; i < 40; i++) {
@@ -229,7 +238,7 @@
   t.true(hop.runs.length <= 40 + 5, `${hop.runs.length} sends of 40 requests`);
 });
 
-test("dispatch: the caller leaves while it waits: nothing is sent", async (t) => {
+test("dispatch: a request is not sent if its caller disconnects while it is queued", async (t) => {
   const { hop, dispatcher, clock } = rig();
   hop.onAsk = () => undefined;
   const leave = new AbortController();
@@ -241,18 +250,18 @@
   t.true(hop.asks.every((a) => a.call.givenUp));
 });
 
-test("dispatch: requests in line are refused when the sidecar is about to end, those at a target go on", async (t) => {
-  // Story: a sidecar is stopped while its callers' bookings stand in line at busy targets. At
-  // the end of its grace their connections were closed without a word, and no caller knew
-  // that nothing had run.
+test("dispatch: close refuses queued requests as not-run, and running ones continue", async (t) => {
+  // A sidecar is stopped while its callers' bookings are queued at busy targets. Their connections
+  // were closed without a response at the end of the grace period, and no caller could know that
+  // nothing had run.
   const { hop, dispatcher } = rig();
   const running = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
   hop.onAsk = () => undefined;
-  const inLine = dispatcher.dispatch(makeRoute(), makeCallerRequest());
+  const queued = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
   dispatcher.close();
-  t.is((await inLine).verdict.kind, "not-run");
+  t.is((await queued).verdict.kind, "not-run");
   t.is((await dispatcher.dispatch(makeRoute(), makeCallerRequest())).verdict.kind, "not-run");
   hop.runs[0]?.call.answer(done);
   t.is((await running).verdict.kind, "done");
@@ -260,7 +269,7 @@
 
 const settled = () => new Promise((resolve) => setImmediate(resolve));
 
-const starts: readonly {
+const startupCases: readonly {
   name: string;
   isStarting: boolean;
   knownAfterMs: number;
@@ -268,21 +277,21 @@
   endsAt: number;
 }[] = [
   {
-    name: "a target comes to be known in time",
+    name: "is served if a target announces itself in time",
     isStarting: true,
     knownAfterMs: 290,
     verdict: "done",
     endsAt: 310,
   },
   {
-    name: "none comes to be known",
+    name: "is refused if no target announces itself in time",
     isStarting: true,
     knownAfterMs: 10_000,
     verdict: "not-run",
     endsAt: 810,
   },
   {
-    name: "the sidecar has been up for long",
+    name: "is refused at once if the sidecar started long ago",
     isStarting: false,
     knownAfterMs: 290,
     verdict: "not-run",
@@ -290,15 +299,15 @@
   },
 ];
 
-// Story: the whole fleet was killed and is back. A sidecar has the document and a caller's request,
-// but the targets have not announced themselves yet; 300 ms later they have.
-for (const { name, isStarting, knownAfterMs, verdict, endsAt } of starts) {
-  test(`a fleet that starts, ${name}`, async (t) => {
-    const known: ReturnType<typeof makeTarget>[] = [];
-    const { clock, hop, dispatcher } = rig(100, known, () => isStarting);
+// The whole fleet was killed and restarts. A sidecar has the document and a caller's request, but the
+// targets announce themselves only about 300 ms later.
+for (const { name, isStarting, knownAfterMs, verdict, endsAt } of startupCases) {
+  test(`dispatch: a request without a known target ${name}`, async (t) => {
+    const knownTargets: ReturnType<typeof makeTarget>[] = [];
+    const { clock, hop, dispatcher } = rig(100, knownTargets, () => isStarting);
     hop.onRun = () => done;
     clock.after(knownAfterMs, () => {
-      known.push(makeTarget("a"));
+      knownTargets.push(makeTarget("a"));
     });
     let endedAt: number | undefined;
     const out = dispatcher.dispatch(makeRoute(), makeCallerRequest({ deadlineAt: 5000 }));
@@ -311,9 +320,9 @@
   });
 }
 
-test("dispatch: a booking for which no connection opened goes to another target, at no cost to the budget", async (t) => {
-  // Story: the VM of the target that gave a slot is cut off before the booking is sent there. Nothing has
-  // reached it, so there is no repeat that a budget could be for, and the caller is served elsewhere.
+test("dispatch: a booking whose connection could not be opened goes to another target without a retry token", async (t) => {
+  // The VM of the target that granted the slot is cut off before the booking is sent there. Nothing has
+  // reached it, so sending the booking elsewhere adds no load that the retry budget has to limit.
   const { hop, dispatcher, clock } = rig(0);
   const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   await clock.advance(0);
@@ -332,21 +341,26 @@
   deadlineAt: number;
   verdict: ForwardResult["verdict"]["kind"];
 }[] = [
-  { name: "a call", origin: RequestOrigin.TargetVm, deadlineAt: 2000, verdict: "done" },
+  { name: "a nested call", origin: RequestOrigin.TargetVm, deadlineAt: 2000, verdict: "done" },
   {
-    name: "a call that could not be served in time then",
+    name: "a nested call that can't be served before its deadline",
     origin: RequestOrigin.TargetVm,
     deadlineAt: 120,
     verdict: "not-run",
   },
-  { name: "a caller's own", origin: RequestOrigin.Elsewhere, deadlineAt: 2000, verdict: "not-run" },
+  {
+    name: "a caller's own request",
+    origin: RequestOrigin.Elsewhere,
+    deadlineAt: 2000,
+    verdict: "not-run",
+  },
 ];
 
 for (const { name, origin, deadlineAt, verdict } of refusedThenGranted) {
-  test(`dispatch: every target is full for a moment, and ${name} is ${verdict}`, async (t) => {
-    // Story: a sign-off has worked for a second when it needs a report, and every target of that service says that it is
-    // full. Refused at once, the call cost the whole run, though a place was free a tenth of a second later. A caller's own
-    // request has cost nothing yet, and hears at once that it has not run.
+  test(`dispatch: while every target is full for 100 ms, ${name} ends as ${verdict}`, async (t) => {
+    // A run has worked for a second when it makes a nested call, and every target of the called service is full. Refusing
+    // the call at once failed the whole run, although a slot was free 100 ms later. A caller's own request has
+    // done no work yet and is refused as not run at once.
     const { clock, hop, runs, dispatcher } = rig();
     runs.begin();
     hop.onAsk = () => (clock.now() < 100 ? refused(RefusalReason.Full) : granted);
@@ -359,12 +373,12 @@
 }
 
 for (const { name, isLent, sends } of [
-  { name: "is sent again where another sidecar lends its leave", isLent: true, sends: 2 },
-  { name: "ends where nobody does", isLent: false, sends: 1 },
+  { name: "is retried with a token borrowed from another sidecar", isLent: true, sends: 2 },
+  { name: "is not retried if no sidecar lends a token", isLent: false, sends: 1 },
 ]) {
-  test(`dispatch: a failed lookup beyond this sidecar's part of the budget ${name}`, async (t) => {
-    // Story: among hundreds of sidecars each may retry once or twice in ten seconds. One that met a gray target twice
-    // gave up on lookups, while the others' parts went unused.
+  test(`dispatch: a failed lookup beyond this sidecar's share of the retry budget ${name}`, async (t) => {
+    // With hundreds of sidecars the share of each is one or two retries in ten seconds. A sidecar that reached a gray target
+    // twice stopped retrying lookups, while the shares of the others went unused.
     const { hop, dispatcher, clock } = rig(
       0,
       targets,
@@ -379,9 +393,9 @@
   });
 }
 
-test("dispatch: a request whose grants run out again and again is given up as not run", async (t) => {
-  // Story: a field map takes longer to its target than a grant lasts, since the link there is full of maps that came
-  // too late. Each was sent for as long as its caller waited, twenty times and more, and kept the link full.
+test("dispatch: a request whose grants keep expiring is refused as not-run", async (t) => {
+  // Large requests take longer to reach their target than a grant lasts, since the link is saturated with requests whose
+  // grants have expired. Each was sent again until its deadline, twenty times or more, which kept the link saturated.
   const { clock, hop, dispatcher } = rig();
   hop.onRun = () => expired;
   const result = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
