--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -17,52 +17,52 @@
 import { ZoneWaitEstimator } from "./ZoneWaitEstimator.ts";
 import type { PickedTarget, PickContext, RoutingPolicy, SuspectTarget } from "./RoutingPolicy.ts";
 
-/** Assumed time of a request where nothing was measured: this share of its objective. */
+/** Typical time that is assumed without any measurement, as a share of the route's objective. */
 const DEFAULT_TYPICAL_SHARE = 1 / 3;
 
-/** A large body or answer waits this long for a target in its own zone rather than cross zones, ms. */
+/** Longest expected wait at a local-zone target for which a request of a bulk route is still kept in the zone, ms. */
 const BULK_MAX_LOCAL_WAIT_MS = 300;
 
 /**
- * A target in the own zone of which nothing was heard lately is taken for free while those of its zone are expected to
- * make an ask wait no longer than this, ms: what it takes to go to another zone and back.
+ * Longest expected wait in the local zone for which a target there without a fresh load report is preferred to other
+ * zones, ms: about a round trip to another zone.
  */
 const UNKNOWN_LOAD_MAX_LOCAL_WAIT_MS = 10;
 
 /**
- * What the chance to fail weighs for a request that has no other try, against its time to an answer,
- * ms: a target that fails one in a hundred more is worth 50 ms.
+ * Cost of a failure probability of 1 for a request that can't be retried, in ms of expected response time: one
+ * failure more in a hundred requests costs as much as 50 ms.
  */
 const RISK_COST_MS = 5000;
 
 /**
- * What a target's sidecar said of when it can be probed counts for this long, ms. Others may have
- * probed it since; then the ask is refused, or the target is well, and nothing is lost but a round trip.
+ * Age up to which a gate's report of when its target is due for a probe is used, ms. Another sidecar may have
+ * probed it since; then the slot request is refused, or the target is healthy again, and at most a round trip is lost.
  */
 const PROBE_MAX_AGE_MS = 4000;
 
-/** Where requests wait for want of room, a target is probed after this part of the time that its gate asks for. */
+/** While requests of the service wait for slots, a target is probed after this share of the delay that its gate asks for. */
 const CONGESTED_PROBE_SHARE = 0.3;
 
-/** Requests wait for want of room where they did so for this long on average, ms. */
+/** Average wait for a slot from which on a service counts as congested, ms. */
 const CONGESTED_WAIT_MS = 80;
 
-/** Weight of the newest wait in the average: about the last five count. */
+/** Weight of the newest wait in the moving average: about the last five dominate it. */
 const WAIT_WEIGHT = 0.2;
 
-/** Share of its usual work that a target gets when it has just come. */
+/** Initial weight of a new target, relative to its weight after the ramp-up. */
 const RAMP_START = 0.2;
 
-/** A target that may be asked, and what is known of it. */
+/** A target that may be picked, with this sidecar's view of it. */
 interface Candidate {
   readonly target: TargetInfo;
   readonly view: TargetView;
 }
 
-/** One look at the targets, for one request. */
+/** A request with the time and the typical duration that all targets are evaluated by in one pick. */
 interface PickSnapshot extends PickContext {
   readonly now: number;
-  /** What requests of the route usually take, ms. */
+  /** Typical time that a request of the route takes, ms. */
   readonly typicalMs: number;
 }
 
@@ -70,24 +70,24 @@
   readonly table: TargetTable;
   readonly zone: ZoneName;
   readonly clock: Clock;
-  /** In [0, 1); tests pass a seeded one. */
+  /** Returns a number in [0, 1); tests pass a seeded one. */
   readonly random: () => number;
 }
 
 /**
- * The product's routing policy: power of two choices over the expected time to an
- * answer, among the targets in rotation. What a target's sidecar says of it decides
- * whether it is gray, this sidecar's own asks whether the path to it is good; the
- * service's floor bounds how many may be left out for either.
+ * The default routing policy: power of two choices over the expected response time,
+ * among the targets in rotation. Whether a target is gray is decided by its gate's
+ * reports, whether the path to it works by this sidecar's own slot requests. The
+ * service's floor limits how many targets may be left out.
  */
 export class AdaptivePolicy implements RoutingPolicy {
   readonly #deps: AdaptivePolicyDeps;
   readonly #views: TargetViews;
   readonly #baselines = new Map<string, LatencyBaseline>();
-  /** How long requests waited for a slot lately, on average, by services' names, ms. */
+  /** Moving averages of the wait for a slot, by service name, ms. */
   readonly #averageWaits = new Map<string, number>();
   readonly #zoneWaits: ZoneWaitEstimator;
-  /** Floors of services by their names, as of the last request. */
+  /** Floors by service name, as of the service's last request. */
   readonly #floors = new Map<string, number>();
 
   constructor(deps: AdaptivePolicyDeps) {
@@ -97,38 +97,38 @@
   }
 
   pick(request: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined {
-    const look = this.#snapshot(request);
-    const open = this.#candidates(look, tried);
+    const snapshot = this.#snapshot(request);
+    const candidates = this.#candidates(snapshot, tried);
     const { random } = this.#deps;
-    const toProbe = request.isExpendable ? this.#probeCandidates(look, open) : [];
-    const probed = toProbe[Math.floor(random() * toProbe.length)];
-    if (probed) {
-      return { target: probed.target, isProbe: true };
+    const probeCandidates = request.isExpendable ? this.#probeCandidates(snapshot, candidates) : [];
+    const probe = probeCandidates[Math.floor(random() * probeCandidates.length)];
+    if (probe) {
+      return { target: probe.target, isProbe: true };
     }
-    const well = open.filter((c) => !this.#isSuspected(look, c));
-    const reachable = well.filter((c) => !c.view.link.isSuspect);
-    const best = reachable.length > 0 ? reachable : well;
-    const near = this.#localCandidates(look, best);
-    const tier = near.length > 0 ? near : best;
-    const picked = pickByCost(tier, (c) => this.#cost(look, c), random);
+    const unsuspected = candidates.filter((c) => !this.#isSuspected(snapshot, c));
+    const reachable = unsuspected.filter((c) => !c.view.link.isSuspect);
+    const preferred = reachable.length > 0 ? reachable : unsuspected;
+    const local = this.#localCandidates(snapshot, preferred);
+    const tier = local.length > 0 ? local : preferred;
+    const picked = pickByCost(tier, (c) => this.#cost(snapshot, c), random);
     return picked && { target: picked.target };
   }
 
   suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[] {
-    const look = this.#snapshot(request);
-    const suspected = this.#candidates(look, tried).filter(
-      (c) => this.#isSuspected(look, c) && !c.view.link.isSuspect,
+    const snapshot = this.#snapshot(request);
+    const suspects = this.#candidates(snapshot, tried).filter(
+      (c) => this.#isSuspected(snapshot, c) && !c.view.link.isSuspect,
     );
-    if (suspected.length === 0) {
+    if (suspects.length === 0) {
       return [];
     }
     const { service } = request.route;
     const rotation = this.#rotation(this.#targetsOf(request.route), service.floor);
-    return suspected
+    return suspects
       .map((c) => ({
         target: c.target,
-        risk: this.#riskOf(look, c),
-        isKept: this.#isGray(look, c) && rotation.has(c.target.id),
+        risk: this.#riskOf(snapshot, c),
+        isKept: this.#isGray(snapshot, c) && rotation.has(c.target.id),
       }))
       .sort((a, b) => a.risk - b.risk);
   }
@@ -146,15 +146,14 @@
   }
 
   noteWait({ service }: RouteMatch, waitedMs: number): void {
-    const before = this.#averageWaits.get(service.name) ?? 0;
-    this.#averageWaits.set(service.name, before + WAIT_WEIGHT * (waitedMs - before));
+    const previousMs = this.#averageWaits.get(service.name) ?? 0;
+    this.#averageWaits.set(service.name, previousMs + WAIT_WEIGHT * (waitedMs - previousMs));
   }
 
   isPressed({ service }: RouteMatch): boolean {
     return (this.#averageWaits.get(service.name) ?? 0) >= CONGESTED_WAIT_MS;
   }
 
-  /** A gate tells how its target is thought of, without having been asked. */
   noteLoad(id: TargetId, load: GateLoad): void {
     const view = this.#views.get(id);
     if (view) {
@@ -170,9 +169,9 @@
     const { clock } = this.#deps;
     const view = this.#views.getOrCreate(target);
     const startedAt = clock.now();
-    view.outstanding += 1;
+    view.inFlight += 1;
     return (outcome) => {
-      view.outstanding -= 1;
+      view.inFlight -= 1;
       if (outcome === AttemptOutcome.Ok) {
         this.#baseline(route).add(clock.now() - startedAt);
       }
@@ -204,20 +203,20 @@
     this.#zoneWaits.record(service, zone, expectedWaitMs(load, load.serviceMs));
   }
 
-  /** Targets of a route's service that take work and have not had their chance. */
-  #candidates(look: PickSnapshot, tried: ReadonlySet<TargetId>): Candidate[] {
-    const { route } = look;
+  /** Targets of the route's service that accept requests, are not in `tried` and don't stop too soon for this one. */
+  #candidates(snapshot: PickSnapshot, tried: ReadonlySet<TargetId>): Candidate[] {
+    const { route } = snapshot;
     this.#floors.set(route.service.name, route.service.floor);
-    const open: Candidate[] = [];
+    const candidates: Candidate[] = [];
     for (const target of this.#targetsOf(route)) {
       if (target.state === TargetState.Ready && !tried.has(target.id)) {
         const candidate = { target, view: this.#views.getOrCreate(target) };
-        if (!stopsTooSoon(look, candidate)) {
-          open.push(candidate);
+        if (!stopsTooSoon(snapshot, candidate)) {
+          candidates.push(candidate);
         }
       }
     }
-    return open;
+    return candidates;
   }
 
   #snapshot(request: PickContext): PickSnapshot {
@@ -225,10 +224,10 @@
     return { ...request, now: this.#deps.clock.now(), typicalMs };
   }
 
-  /** Known to be gray; or only under suspicion, for a request that has no other try. */
+  /** Whether to avoid the target: it is ejected or, for a request that can't be retried, suspect. */
   #isSuspected({ now, isExpendable }: PickSnapshot, { view }: Candidate): boolean {
-    const judged = this.#views.freshHealth(view, now);
-    return judged !== undefined && (judged.ejected || (judged.suspect && !isExpendable));
+    const health = this.#views.freshHealth(view, now);
+    return health !== undefined && (health.ejected || (health.suspect && !isExpendable));
   }
 
   #isGray({ now }: Pick<PickSnapshot, "now">, { view }: Candidate): boolean {
@@ -239,19 +238,19 @@
     return this.#views.freshHealth(view, now)?.risk ?? 0;
   }
 
-  /** Targets that an expendable request would tell something of. */
-  #probeCandidates({ now, route }: PickSnapshot, open: readonly Candidate[]): Candidate[] {
+  /** Targets that are due for a probe and reachable. */
+  #probeCandidates({ now, route }: PickSnapshot, candidates: readonly Candidate[]): Candidate[] {
     const share = this.isPressed(route) ? CONGESTED_PROBE_SHARE : 1;
-    return open.filter(({ view: { load, loadReceivedAt: loadAt, link } }) => {
-      const age = now - loadAt;
-      const inMs = (load?.probeInMs ?? Infinity) * share;
-      return inMs <= age && age < PROBE_MAX_AGE_MS && !link.isSuspect;
+    return candidates.filter(({ view: { load, loadReceivedAt, link } }) => {
+      const age = now - loadReceivedAt;
+      const dueInMs = (load?.probeInMs ?? Infinity) * share;
+      return dueInMs <= age && age < PROBE_MAX_AGE_MS && !link.isSuspect;
     });
   }
 
   #rotation(targets: readonly TargetInfo[], floor: number): Set<TargetId> {
     const now = this.#deps.clock.now();
-    const judged = targets.map((target) => {
+    const candidates = targets.map((target) => {
       const candidate = { target, view: this.#views.getOrCreate(target) };
       return {
         id: target.id,
@@ -261,39 +260,43 @@
         badness: this.#riskOf({ now }, candidate),
       };
     });
-    return chooseRotation(judged, floor);
+    return chooseRotation(candidates, floor);
   }
 
   /**
-   * Targets in this sidecar's zone that would serve a request as well as one elsewhere: those
-   * that are free, and for what is large those that are soon. What stays in its zone is
-   * there sooner, and costs no bytes between zones.
+   * Targets in this sidecar's zone that are preferred to those in other zones: the ones with a free slot
+   * and, for bulk routes, the ones expected to have a free slot soon. A request within the zone arrives
+   * sooner and causes no cross-zone traffic.
    */
-  #localCandidates(look: PickSnapshot, candidates: readonly Candidate[]): Candidate[] {
+  #localCandidates(snapshot: PickSnapshot, candidates: readonly Candidate[]): Candidate[] {
     const { zone } = this.#deps;
-    const unheardMs = look.route.bulk ? BULK_MAX_LOCAL_WAIT_MS : UNKNOWN_LOAD_MAX_LOCAL_WAIT_MS;
-    const heardMs = look.route.bulk ? BULK_MAX_LOCAL_WAIT_MS : 0;
+    const unknownLoadWaitMs = snapshot.route.bulk
+      ? BULK_MAX_LOCAL_WAIT_MS
+      : UNKNOWN_LOAD_MAX_LOCAL_WAIT_MS;
+    const knownLoadWaitMs = snapshot.route.bulk ? BULK_MAX_LOCAL_WAIT_MS : 0;
     return candidates.filter((c) => {
-      const patienceMs = this.#views.freshLoad(c.view, look.now) ? heardMs : unheardMs;
-      return c.target.zone === zone && this.#waitMs(look, c) <= patienceMs;
+      const maxWaitMs = this.#views.freshLoad(c.view, snapshot.now)
+        ? knownLoadWaitMs
+        : unknownLoadWaitMs;
+      return c.target.zone === zone && this.#waitMs(snapshot, c) <= maxWaitMs;
     });
   }
 
-  /** Expected time to the answer, ms; more for a target that has just come, so that nobody stampedes to it. */
-  #cost(look: PickSnapshot, candidate: Candidate): number {
+  /** Expected response time, ms, including the cost of the failure risk; higher for a new target, to avoid a stampede to it. */
+  #cost(snapshot: PickSnapshot, candidate: Candidate): number {
     const { target, view } = candidate;
-    const load = this.#views.freshLoad(view, look.now);
-    const busy = ((load?.busy ?? 0) + view.outstanding) / Math.max(1, target.slots);
-    const workMs = look.typicalMs * (load?.pace ?? 1) * (1 + busy);
-    const riskMs = look.isExpendable ? 0 : this.#riskOf(look, candidate) * RISK_COST_MS;
-    const total = this.#waitMs(look, candidate) + workMs + view.link.answerMs + riskMs;
-    return total / this.#rampWeight(look.route, view);
+    const load = this.#views.freshLoad(view, snapshot.now);
+    const utilization = ((load?.busy ?? 0) + view.inFlight) / Math.max(1, target.slots);
+    const workMs = snapshot.typicalMs * (load?.pace ?? 1) * (1 + utilization);
+    const riskMs = snapshot.isExpendable ? 0 : this.#riskOf(snapshot, candidate) * RISK_COST_MS;
+    const total = this.#waitMs(snapshot, candidate) + workMs + view.link.answerMs + riskMs;
+    return total / this.#rampWeight(snapshot.route, view);
   }
 
-  #waitMs(look: PickSnapshot, { target, view }: Candidate): number {
-    const load = this.#views.freshLoad(view, look.now);
+  #waitMs(snapshot: PickSnapshot, { target, view }: Candidate): number {
+    const load = this.#views.freshLoad(view, snapshot.now);
     return load
-      ? expectedWaitMs(load, load.serviceMs > 0 ? load.serviceMs : look.typicalMs)
+      ? expectedWaitMs(load, load.serviceMs > 0 ? load.serviceMs : snapshot.typicalMs)
       : this.#zoneWaits.expectedMs(target.service, target.zone);
   }
 
@@ -317,20 +320,20 @@
   }
 }
 
-/** The sidecar beside the target is being stopped, and ends before the request would; one that has ended may be back. */
+/** Whether the co-located sidecar is being stopped and will exit before the request would end. After the announced exit it may have restarted, so the target may be picked again. */
 function stopsTooSoon(
   { now, typicalMs, isExpendable }: PickSnapshot,
   { view }: Candidate,
 ): boolean {
-  const { load, loadReceivedAt: loadAt } = view;
+  const { load, loadReceivedAt } = view;
   if (load?.endsInMs === undefined) {
     return false;
   }
-  const leftMs = load.endsInMs - (now - loadAt);
-  return leftMs > 0 && leftMs < runRoomMs(typicalMs, isExpendable);
+  const remainingMs = load.endsInMs - (now - loadReceivedAt);
+  return remainingMs > 0 && remainingMs < runRoomMs(typicalMs, isExpendable);
 }
 
-/** How long an ask waits at a target as busy as that, where a request takes `serviceMs`, ms. */
+/** Expected wait of a slot request at a target with this load where a request takes `serviceMs`, ms. */
 function expectedWaitMs({ busy, slots, queued }: GateLoad, serviceMs: number): number {
   return busy < slots ? 0 : ((queued / 2 + 1) * serviceMs) / Math.max(1, slots);
 }
--- a/src/sidecar/routing/TargetViews.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -24,7 +24,7 @@
   load: GateLoad | undefined;
   loadReceivedAt: number;
   /** Requests from this sidecar that are running at the target. */
-  outstanding: number;
+  inFlight: number;
 }
 
 interface TargetViewsDeps {
@@ -55,7 +55,7 @@
         firstSeenAt: this.#firstSeenTime(),
         load: undefined,
         loadReceivedAt: -Infinity,
-        outstanding: 0,
+        inFlight: 0,
       };
       this.#views.set(id, view);
     }
@@ -74,13 +74,13 @@
   }
 
   /** Returns the last report for its health fields; undefined if it is older than {@link HEALTH_MAX_AGE_MS}. */
-  freshHealth({ load, loadReceivedAt: loadAt }: TargetView, now: number): GateLoad | undefined {
-    return now - loadAt < HEALTH_MAX_AGE_MS ? load : undefined;
+  freshHealth({ load, loadReceivedAt }: TargetView, now: number): GateLoad | undefined {
+    return now - loadReceivedAt < HEALTH_MAX_AGE_MS ? load : undefined;
   }
 
   /** Returns the last report for its load fields; undefined if it is older than {@link LOAD_MAX_AGE_MS}. */
-  freshLoad({ load, loadReceivedAt: loadAt }: TargetView, now: number): GateLoad | undefined {
-    return now - loadAt < LOAD_MAX_AGE_MS ? load : undefined;
+  freshLoad({ load, loadReceivedAt }: TargetView, now: number): GateLoad | undefined {
+    return now - loadReceivedAt < LOAD_MAX_AGE_MS ? load : undefined;
   }
 
   /** Removes the views of departed targets, at most once every {@link PRUNE_INTERVAL_MS}. */
@@ -91,8 +91,8 @@
       return;
     }
     this.#prunedAt = now;
-    for (const [id, { outstanding }] of this.#views) {
-      if (outstanding === 0 && !table.target(id)) {
+    for (const [id, { inFlight }] of this.#views) {
+      if (inFlight === 0 && !table.target(id)) {
         this.#views.delete(id);
       }
     }
