--- a/src/sidecar/routing/NaivePolicy.ts
+++ b/src/sidecar/routing/NaivePolicy.ts
@@ -10,13 +10,13 @@
 import { TargetState } from "../../membership/TargetState.ts";
 import type { TargetTable } from "../../membership/TargetTable.ts";
 
-/** Errors in a row that eject a target. */
+/** Number of consecutive errors that ejects a target. */
 const CONSECUTIVE_ERRORS = 5;
 
-/** Time between health checks of each target, ms. */
+/** Interval between health checks of each target, ms. */
 const HEALTH_CHECK_MS = 1000;
 
-/** What the policy needs; passed in so tests can fake each. */
+/** Dependencies of the policy; injected so that tests can fake each. */
 interface NaivePolicyDeps {
   readonly table: TargetTable;
   readonly probe: (target: TargetInfo) => Promise<boolean>;
@@ -24,15 +24,15 @@
 }
 
 /**
- * The baseline that ours is measured against, for the bench and differential
- * tests only: round robin, a health check a second, ejection after five errors
- * in a row until a health check passes again. No floor, no peers' evidence.
+ * The baseline that `AdaptivePolicy` is compared with in benchmarks and
+ * differential tests: round robin, a health check every second, and ejection after five
+ * consecutive errors until a health check passes. Has no floor and uses no reports of other sidecars.
  */
 export class NaivePolicy extends Disposable implements RoutingPolicy {
   readonly #deps: NaivePolicyDeps;
   readonly #errors = new Map<TargetId, number>();
   readonly #ejected = new Set<TargetId>();
-  #turn = 0;
+  #nextIndex = 0;
 
   constructor(deps: NaivePolicyDeps) {
     super();
@@ -48,7 +48,7 @@
     const candidates = this.#deps.table
       .targetsOf(ServiceName(route.service.name))
       .filter((t) => t.state === TargetState.Ready && !this.#ejected.has(t.id) && !tried.has(t.id));
-    const target = candidates[this.#turn++ % Math.max(1, candidates.length)];
+    const target = candidates[this.#nextIndex++ % Math.max(1, candidates.length)];
     return target && { target };
   }
 
@@ -57,15 +57,15 @@
   }
 
   noteReply(): void {
-    // Listens to nobody.
+    // Uses no load reports.
   }
 
   noteQueued(): void {
-    // Listens to nobody.
+    // Uses no load reports.
   }
 
   noteWait(): void {
-    // Listens to nobody.
+    // Measures no waits.
   }
 
   isPressed(): boolean {
@@ -73,11 +73,11 @@
   }
 
   noteLoad(): void {
-    // Listens to nobody.
+    // Uses no load reports.
   }
 
   noteTimeout(target: TargetInfo): void {
-    this.#noteEnd(target, AttemptOutcome.NoAnswer);
+    this.#recordOutcome(target, AttemptOutcome.NoAnswer);
   }
 
   typicalMs(route: RouteMatch): number {
@@ -86,7 +86,7 @@
 
   begin(_route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
     return (outcome) => {
-      this.#noteEnd(target, outcome);
+      this.#recordOutcome(target, outcome);
     };
   }
 
@@ -96,7 +96,7 @@
       .map((t) => ({ id: t.id, rotation: this.#ejected.has(t.id) ? "ejected" : "in" }));
   }
 
-  /** Checks every target once; a failing one is ejected, a passing one comes back. */
+  /** Checks the health of every target once; ejects those that fail and readmits those that pass. */
   async checkHealth(): Promise<void> {
     const targets = this.#deps.table.allTargets().filter((t) => t.healthPath !== "");
     await Promise.all(
@@ -111,9 +111,9 @@
     );
   }
 
-  #noteEnd(target: TargetInfo, outcome: AttemptOutcome): void {
-    const bad = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.NoAnswer;
-    const errors = bad ? (this.#errors.get(target.id) ?? 0) + 1 : 0;
+  #recordOutcome(target: TargetInfo, outcome: AttemptOutcome): void {
+    const isError = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.NoAnswer;
+    const errors = isError ? (this.#errors.get(target.id) ?? 0) + 1 : 0;
     this.#errors.set(target.id, errors);
     if (errors >= CONSECUTIVE_ERRORS) {
       this.#eject(target.id);
