--- a/src/sidecar/routing/policies.test.ts
+++ b/src/sidecar/routing/policies.test.ts
@@ -23,22 +23,22 @@
 import type { RouteMatch } from "./RouteMatch.ts";
 import type { RoutingPolicy } from "./RoutingPolicy.ts";
 
-/** How one answer of a fake target comes out. */
-interface FakeAnswer {
+/** A fake target's response to one request: its duration and outcome. */
+interface FakeResponse {
   readonly ms: number;
   readonly outcome: AttemptOutcome;
 }
 
-const healthy: FakeAnswer = { ms: 20, outcome: AttemptOutcome.Ok };
+const healthy: FakeResponse = { ms: 20, outcome: AttemptOutcome.Ok };
 
-/** One sidecar's policy, and the gates of eight fake targets of four slots, on a fake clock. */
-class Rig {
+/** One sidecar's policy and the gates of eight fake targets with four slots each, on a fake clock. */
+class PolicyRig {
   readonly clock = new FakeClock();
   readonly random = seededRandom(42);
   readonly table: TargetTable;
   readonly policy: RoutingPolicy;
   readonly ids = Array.from({ length: 8 }, (_, i) => TargetId(`t${i}`));
-  /** Targets as they were ejected, in order. */
+  /** Targets in the order of their ejections. */
   readonly ejections: string[] = [];
   readonly route: RouteMatch;
   readonly gates: ReadonlyMap<TargetId, Gate>;
@@ -52,14 +52,16 @@
     opts: { floor?: number; health?: (id: TargetId) => boolean } = {},
   ) {
     const { clock, random } = this;
-    const note = (record: { msg: string; target: string }) => {
+    const recordEjection = (record: { msg: string; target: string }) => {
       if (record.msg === "ejected") {
         this.ejections.push(record.target);
       }
     };
     const log = bunyan.createLogger({
       name: "test",
-      streams: [{ type: "raw", stream: { write: note } as unknown as NodeJS.WritableStream }],
+      streams: [
+        { type: "raw", stream: { write: recordEjection } as unknown as NodeJS.WritableStream },
+      ],
     });
     const self = {
       id: SidecarId("self"),
@@ -112,8 +114,8 @@
     this.table.announce(target, this.#sequence++);
   }
 
-  /** Runs `ms` of traffic, a request every 5 ms; returns when each target got one. */
-  async run(ms: number, answer: (id: TargetId) => FakeAnswer): Promise<Map<TargetId, number[]>> {
+  /** Runs `ms` of traffic, a request every 5 ms; returns the arrival times at each target, ms. */
+  async run(ms: number, respond: (id: TargetId) => FakeResponse): Promise<Map<TargetId, number[]>> {
     const arrivals = new Map<TargetId, number[]>(this.ids.map((id) => [id, []]));
     for (const until = this.clock.now() + ms; this.clock.now() < until;) {
       if (this.clock.now() % 50 === 0) {
@@ -124,13 +126,13 @@
       if (this.clock.now() % 1000 === 0) {
         await this.#naive?.checkHealth();
       }
-      this.#serve(answer, arrivals);
+      this.#serve(respond, arrivals);
       await this.clock.advance(5);
     }
     return arrivals;
   }
 
-  /** Rotation as the policy tells it. */
+  /** Targets that the policy describes as ejected. */
   ejected(): TargetId[] {
     return this.policy
       .describe()
@@ -138,23 +140,23 @@
       .map((d) => d.id);
   }
 
-  /** Asks target after target, as the policy picks them, until one grants a slot. */
-  #serve(answer: (id: TargetId) => FakeAnswer, arrivals: Map<TargetId, number[]>): void {
+  /** Requests a slot from one picked target after another until one grants it. */
+  #serve(respond: (id: TargetId) => FakeResponse, arrivals: Map<TargetId, number[]>): void {
     const tried = new Set<TargetId>();
     const attempt = AttemptId(`a${this.#attempts++}`);
     for (;;) {
       const request = { route: this.route, isExpendable: true };
-      const sound = this.policy.pick(request, tried);
-      const picked = sound ?? this.policy.suspected(request, tried).find((s) => s.isKept);
+      const healthyPick = this.policy.pick(request, tried);
+      const picked = healthyPick ?? this.policy.suspected(request, tried).find((s) => s.isKept);
       const gate = picked && this.gates.get(picked.target.id);
       if (!gate) {
         return;
       }
       const { target } = picked;
-      const acceptsRisk = sound === undefined ? 1 : 0;
+      const acceptsRisk = healthyPick === undefined ? 1 : 0;
       tried.add(target.id);
       const replies: SlotReply[] = [];
-      const ask = {
+      const slotRequest = {
         attempt,
         target: target.id,
         isExpendable: true,
@@ -167,7 +169,7 @@
         isCall: false,
         bodyBytes: 0,
       };
-      const ticket = gate.requestSlot(ask, (reply) => replies.push(reply));
+      const ticket = gate.requestSlot(slotRequest, (reply) => replies.push(reply));
       const [reply] = replies;
       if (!reply) {
         ticket.withdraw();
@@ -178,7 +180,7 @@
         arrivals.get(target.id)?.push(this.clock.now());
         gate.take(reply.grant);
         const end = this.policy.begin(this.route, target);
-        const { ms, outcome } = answer(target.id);
+        const { ms, outcome } = respond(target.id);
         this.clock.after(ms, () => {
           gate.end(reply.grant, outcome);
           end(outcome);
@@ -190,10 +192,10 @@
 }
 
 /**
- * Detection time: ms from the start of `arrivals` to the last one before the
- * target's first quiet second; Infinity when it never goes quiet.
+ * Detection time: ms from `startedAt` to the last arrival before the target's first
+ * second without requests; Infinity if there is no such second.
  */
-function detectionMs(rig: Rig, arrivals: readonly number[], startedAt: number): number {
+function detectionMs(rig: PolicyRig, arrivals: readonly number[], startedAt: number): number {
   const times = [startedAt, ...arrivals, rig.clock.now()];
   for (let i = 1; i < times.length; i++) {
     const [before, after] = [times[i - 1] ?? 0, times[i] ?? 0];
@@ -206,51 +208,51 @@
 
 const gray = TargetId("t3");
 
-/** Each story: the naive baseline fails it (its gray share stays), ours passes. */
-const grayCases: readonly {
+/** Partial failures that the naive baseline never detects and the adaptive policy does. */
+const grayFailureCases: readonly {
   name: string;
-  answer: (rig: Rig) => FakeAnswer;
+  respond: (rig: PolicyRig) => FakeResponse;
 }[] = [
   {
-    // Story: an availability counter's target goes ten times slower but still
-    // answers 200, and its health check passes. Every eighth clerk waits.
+    // A target becomes ten times slower but still responds with 200, and its health check
+    // passes. Every eighth request is slow.
     name: "a target that turns slow while its health check passes",
-    answer: () => ({ ms: 200, outcome: AttemptOutcome.Ok }),
+    respond: () => ({ ms: 200, outcome: AttemptOutcome.Ok }),
   },
   {
-    // Story: a target hands out other requests' answers to 5 in 100 lookups.
-    // Five errors in a row, which the naive rule waits for, never come.
-    name: "a target that gives 5 wrong answers in 100",
-    answer: (rig) => ({
+    // A target returns another request's response for 5 in 100 lookups. The five
+    // consecutive errors that the naive rule needs never occur.
+    name: "a target that returns 5 wrong responses in 100",
+    respond: (rig) => ({
       ms: 20,
       outcome: rig.random() < 0.05 ? AttemptOutcome.Wrong : AttemptOutcome.Ok,
     }),
   },
   {
-    // Story: a target fails two lookups in three while its health check passes. Five
-    // errors in a row, which the naive rule waits for, come once in eight requests.
-    name: "a target that fails 6 requests in 10 now and then",
-    answer: (rig) => ({
+    // A target fails two lookups in three while its health check passes. The five
+    // consecutive errors that the naive rule needs occur once in eight requests.
+    name: "a target that intermittently fails 6 requests in 10",
+    respond: (rig) => ({
       ms: 20,
       outcome: rig.clock.now() % 10 < 5 ? AttemptOutcome.Failed : AttemptOutcome.Ok,
     }),
   },
 ];
 
-for (const c of grayCases) {
+for (const c of grayFailureCases) {
   const detect = async (kind: "naive" | "adaptive") => {
-    const rig = new Rig(kind);
+    const rig = new PolicyRig(kind);
     await rig.run(2000, () => healthy);
     const startedAt = rig.clock.now();
-    const seen = await rig.run(8000, (id) => (id === gray ? c.answer(rig) : healthy));
+    const seen = await rig.run(8000, (id) => (id === gray ? c.respond(rig) : healthy));
     return { rig, ms: detectionMs(rig, seen.get(gray) ?? [], startedAt) };
   };
 
-  test(`naive baseline keeps sending to ${c.name}`, async (t) => {
+  test(`naive policy keeps sending to ${c.name}`, async (t) => {
     t.is((await detect("naive")).ms, Infinity);
   });
 
-  test(`ours stops sending to ${c.name}`, async (t) => {
+  test(`adaptive policy stops sending to ${c.name}`, async (t) => {
     const { rig, ms } = await detect("adaptive");
     t.log(`${ms} ms`);
     t.true(ms < 4000, `${ms} ms`);
@@ -262,61 +264,61 @@
 }
 
 for (const kind of ["naive", "adaptive"] as const) {
-  const verdict = kind === "naive" ? "is ejected by the naive baseline" : "is kept by ours";
-  test(`a healthy target whose health endpoint lies ${verdict}`, async (t) => {
-    // Story: a target serves every lookup well, but its health endpoint fails.
-    // Trusting it throws away an eighth of the lab's capacity.
-    const rig = new Rig(kind, { health: (id) => id !== gray });
+  const verdict = kind === "naive" ? "ejects" : "keeps";
+  test(`${kind} policy ${verdict} a healthy target whose health endpoint fails`, async (t) => {
+    // A target serves every lookup correctly, but its health endpoint fails. Relying on
+    // the endpoint loses an eighth of the capacity.
+    const rig = new PolicyRig(kind, { health: (id) => id !== gray });
     await rig.run(4000, () => healthy);
     t.deepEqual(rig.ejected(), kind === "naive" ? [gray] : []);
   });
 
-  const held = kind === "naive" ? "the naive baseline ejects it to death" : "ours holds the floor";
-  test(`most targets of a service turn gray: ${held}`, async (t) => {
-    // Story: a bad release makes six of eight targets fail every request. With
-    // a floor of 0.5 four targets must stay, or the two healthy ones drown.
-    const sick = new Set(["t0", "t1", "t2", "t3", "t4", "t5"].map(TargetId));
-    const rig = new Rig(kind, { floor: 0.5 });
+  const ejection = kind === "naive" ? "ejects them all" : "ejects no more than the floor allows";
+  test(`${kind} policy ${ejection} when most targets turn gray`, async (t) => {
+    // A bad release makes six of eight targets fail every request. With a floor of
+    // 0.5 four targets must stay, or the two healthy ones are overloaded.
+    const failing = new Set(["t0", "t1", "t2", "t3", "t4", "t5"].map(TargetId));
+    const rig = new PolicyRig(kind, { floor: 0.5 });
     await rig.run(2000, () => healthy);
-    let mostOut = 0;
+    let maxEjected = 0;
     for (let i = 0; i < 40; i++) {
       await rig.run(100, (id) =>
-        sick.has(id) ? { ms: 20, outcome: AttemptOutcome.Failed } : healthy,
+        failing.has(id) ? { ms: 20, outcome: AttemptOutcome.Failed } : healthy,
       );
-      mostOut = Math.max(mostOut, rig.ejected().length);
+      maxEjected = Math.max(maxEjected, rig.ejected().length);
     }
-    t.is(mostOut, kind === "naive" ? 6 : 4);
+    t.is(maxEjected, kind === "naive" ? 6 : 4);
   });
 }
 
-test("most targets gray: those that the floor keeps in rotation take what the others have no room for", async (t) => {
-  // Story: the same bad release, and a crowd of callers: the two healthy targets can
-  // serve 8 at once. Turned away by the gray ones' sidecars, the rest would be refused,
-  // also where the gray ones are slow rather than broken and could still serve them.
-  const sick = new Set(["t0", "t1", "t2", "t3", "t4", "t5"].map(TargetId));
-  const rig = new Rig("adaptive", { floor: 0.5 });
+test("gray targets kept in rotation by the floor serve the requests that exceed the healthy targets' slots", async (t) => {
+  // The same bad release under high load: the two healthy targets can serve 8 requests at
+  // once. If the gray targets' sidecars refused the others, these would fail even where the
+  // gray targets are only slow and could still serve them.
+  const failing = new Set(["t0", "t1", "t2", "t3", "t4", "t5"].map(TargetId));
+  const rig = new PolicyRig("adaptive", { floor: 0.5 });
   await rig.run(2000, () => healthy);
-  const answer = (id: TargetId) =>
-    sick.has(id) ? { ms: 20, outcome: AttemptOutcome.Failed } : { ...healthy, ms: 60 };
-  await rig.run(3000, answer);
-  const seen = await rig.run(1000, answer);
+  const respond = (id: TargetId) =>
+    failing.has(id) ? { ms: 20, outcome: AttemptOutcome.Failed } : { ...healthy, ms: 60 };
+  await rig.run(3000, respond);
+  const seen = await rig.run(1000, respond);
   const total = [...seen.values()].reduce((sum, times) => sum + times.length, 0);
   t.is(total, 200, "every request found a slot");
 });
 
-test("a target that is well again gets its share of work back", async (t) => {
-  const rig = new Rig("adaptive");
+test("a target that recovers is readmitted and receives requests again", async (t) => {
+  const rig = new PolicyRig("adaptive");
   await rig.run(2000, () => healthy);
-  const sick = { ms: 20, outcome: AttemptOutcome.Failed };
-  await rig.run(3000, (id) => (id === gray ? sick : healthy));
+  const failed = { ms: 20, outcome: AttemptOutcome.Failed };
+  await rig.run(3000, (id) => (id === gray ? failed : healthy));
   t.deepEqual(rig.ejected(), [gray]);
   await rig.run(4000, () => healthy);
   const seen = await rig.run(1000, () => healthy);
   t.true((seen.get(gray) ?? []).length > 10);
 });
 
-test("a target announced as draining gets nothing", async (t) => {
-  const rig = new Rig("adaptive");
+test("a target announced as draining is never picked", async (t) => {
+  const rig = new PolicyRig("adaptive");
   await rig.run(500, () => healthy);
   rig.announce(gray, "draining");
   for (let i = 0; i < 200; i++) {
@@ -324,30 +326,30 @@
   }
 });
 
-test("a target whose sidecar does not answer is left alone, and tried again later", async (t) => {
-  // Story: the path from this sidecar to one target's is cut. Each request that asks
-  // there first loses time; once the cut is healed, the target must be found again.
-  const rig = new Rig("adaptive");
+test("a target whose sidecar does not reply is avoided, and tried again later", async (t) => {
+  // The path from this sidecar to the target's sidecar is cut. Each request that tries it first
+  // is delayed; once the path works again, the target must be used again.
+  const rig = new PolicyRig("adaptive");
   await rig.run(500, () => healthy);
   const [target] = rig.table.allTargets().filter((x) => x.id === gray);
-  const asked = () =>
+  const isPicked = () =>
     Array.from(
       { length: 200 },
       () => rig.policy.pick({ route: rig.route, isExpendable: true }, new Set())?.target.id,
     ).includes(gray);
-  t.true(asked());
+  t.true(isPicked());
   if (target) {
     rig.policy.noteTimeout(target);
   }
-  t.false(asked());
+  t.false(isPicked());
   await rig.clock.advance(500);
   rig.announce(gray);
-  t.true(asked());
+  t.true(isPicked());
 });
 
-/** A policy that knows one target in its own zone, as busy as that, and three in another. */
-function zonesRig(busy: Partial<GateLoad>) {
-  const rig = new Rig("adaptive");
+/** A policy that knows one target with this load in its local zone, and three in another zone. */
+function zonesRig(localLoad: Partial<GateLoad>) {
+  const rig = new PolicyRig("adaptive");
   rig.announce(TargetId("near"));
   rig.table.merge([
     {
@@ -373,7 +375,7 @@
   ]);
   const near = rig.table.target(TargetId("near"));
   if (near) {
-    const load = { ...idleLoad, slots: 4, ...busy };
+    const load = { ...idleLoad, slots: 4, ...localLoad };
     rig.policy.noteReply(near, { kind: "granted", grant: GrantId("b.1"), load }, 1);
   }
   return rig;
@@ -383,31 +385,31 @@
   name: string;
   bulk: boolean;
   load: Partial<GateLoad>;
-  staysNear: boolean;
+  staysLocal: boolean;
 }[] = [
-  { name: "a free target there takes any request", bulk: false, load: {}, staysNear: true },
+  { name: "a target with a free slot is preferred", bulk: false, load: {}, staysLocal: true },
   {
-    name: "with a line there, an ordinary request goes where there is none",
+    name: "a request goes to another zone if it would be queued",
     bulk: false,
     load: { busy: 4, queued: 1, serviceMs: 400 },
-    staysNear: false,
+    staysLocal: false,
   },
   {
-    name: "a large one waits for a slot that is soon free there",
+    name: "a bulk request waits for a slot that is free soon",
     bulk: true,
     load: { busy: 4, queued: 1, serviceMs: 400 },
-    staysNear: true,
+    staysLocal: true,
   },
   {
-    name: "a large one does not wait for long",
+    name: "a bulk request goes to another zone if the wait is long",
     bulk: true,
     load: { busy: 4, queued: 20, serviceMs: 400 },
-    staysNear: false,
+    staysLocal: false,
   },
 ];
 
-for (const { name, bulk, load, staysNear } of zoneCases) {
-  test(`own zone: ${name}`, (t) => {
+for (const { name, bulk, load, staysLocal } of zoneCases) {
+  test(`local zone: ${name}`, (t) => {
     const rig = zonesRig(load);
     const route = makeRoute({ ...rig.route, bulk });
     const picks = Array.from(
@@ -415,19 +417,19 @@
       () => rig.policy.pick({ route, isExpendable: true }, new Set())?.target.id,
     );
     const near = picks.filter((id) => id === TargetId("near")).length;
-    t.true(staysNear ? near === 100 : near < 50, `${near} of 100`);
+    t.true(staysLocal ? near === 100 : near < 50, `${near} of 100`);
     const elsewhere = rig.policy.pick({ route, isExpendable: true }, new Set([TargetId("near")]));
     t.truthy(elsewhere);
   });
 }
 
-test("own zone: where targets there were full one after the other, others are not taken for free", async (t) => {
-  // Story: a zone has more callers than others, and hundreds of targets are about. A sidecar hears of
-  // each so seldom that it took every one for free, and asked those of its own zone first: requests stood in
-  // line there while other zones had room.
+test("local zone: targets without a fresh load report are not assumed free after others there were full", async (t) => {
+  // One zone of a fleet with hundreds of targets has more callers than the others. A sidecar got a report of each
+  // target so rarely that it assumed all to be free and preferred its local zone: requests queued
+  // there while other zones had free slots.
   const rig = zonesRig({});
   const ids = ["n0", "n1", "n2"].map((id) => TargetId(id));
-  const nearShare = () => {
+  const localPicks = () => {
     const picks = Array.from(
       { length: 100 },
       () => rig.policy.pick({ route: rig.route, isExpendable: true }, new Set())?.target.id,
@@ -437,7 +439,7 @@
   ids.forEach((id) => {
     rig.announce(id);
   });
-  t.is(nearShare(), 100);
+  t.is(localPicks(), 100);
   for (const id of ids) {
     const target = rig.table.target(id);
     if (target) {
@@ -446,22 +448,22 @@
     }
   }
   await rig.clock.advance(2500);
-  t.true(nearShare() < 50, "nothing fresh is known of any, but the zone is known to be full");
+  t.true(localPicks() < 50, "all reports are stale, but the zone was full recently");
 });
 
-const stops: readonly { name: string; afterMs: number; isPicked: boolean }[] = [
-  { name: "has time for the request is picked", afterMs: 0, isPicked: true },
-  { name: "ends before the request would is left alone", afterMs: 1400, isPicked: false },
-  { name: "has ended, and is known again, is picked", afterMs: 3100, isPicked: true },
+const stoppingSidecarCases: readonly { name: string; afterMs: number; isPicked: boolean }[] = [
+  { name: "is picked if the request can end before the sidecar exits", afterMs: 0, isPicked: true },
+  { name: "is not picked if the sidecar exits too soon", afterMs: 1400, isPicked: false },
+  { name: "is picked after the announced exit, if still known", afterMs: 3100, isPicked: true },
 ];
 
-for (const { name, afterMs, isPicked } of stops) {
-  test(`a target whose sidecar is being stopped and ${name}`, async (t) => {
+for (const { name, afterMs, isPicked } of stoppingSidecarCases) {
+  test(`a target whose sidecar is being stopped ${name}`, async (t) => {
     const { clock, policy, route, table } = zonesRig({ endsInMs: 3000 });
     await clock.advance(afterMs);
     const others = new Set(table.allTargets().map((x) => x.id));
     others.delete(TargetId("near"));
-    // Usually takes a third of its objective, of which 5.5 times are to be left.
+    // The typical time is a third of the objective; 5.5 times that must remain.
     const request = { route: { ...route, objectiveMs: 900 }, isExpendable: false };
     t.is(policy.pick(request, others)?.target.id === "near", isPicked);
   });
