--- a/src/sidecar/routing/policies.test.ts
+++ b/src/sidecar/routing/policies.test.ts
@@ -264,8 +264,9 @@
 }
 
 for (const kind of ["naive", "adaptive"] as const) {
-  const verdict = kind === "naive" ? "ejects" : "keeps";
-  test(`${kind} policy ${verdict} a healthy target whose health endpoint fails`, async (t) => {
+  const verdict =
+    kind === "naive" ? "is ejected by the naive policy" : "is kept by the adaptive one";
+  test(`a healthy target whose health endpoint fails ${verdict}`, async (t) => {
     // A target serves every lookup correctly, but its health endpoint fails. Relying on
     // the endpoint loses an eighth of the capacity.
     const rig = new PolicyRig(kind, { health: (id) => id !== gray });
@@ -273,8 +274,11 @@
     t.deepEqual(rig.ejected(), kind === "naive" ? [gray] : []);
   });
 
-  const ejection = kind === "naive" ? "ejects them all" : "ejects no more than the floor allows";
-  test(`${kind} policy ${ejection} when most targets turn gray`, async (t) => {
+  const ejection =
+    kind === "naive"
+      ? "naive policy ejects all of them"
+      : "adaptive policy ejects down to the floor";
+  test(`most targets of a service turn gray: ${ejection}`, async (t) => {
     // A bad release makes six of eight targets fail every request. With a floor of
     // 0.5 four targets must stay, or the two healthy ones are overloaded.
     const failing = new Set(["t0", "t1", "t2", "t3", "t4", "t5"].map(TargetId));
