--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -75,7 +75,7 @@
   readonly route: RouteMatch;
   readonly req: CallerRequest;
   /** It is made by a target during a run. */
-  readonly isNestedCall: boolean;
+  readonly isCall: boolean;
   /** Targets that are not to be tried again. */
   readonly tried: Set<TargetId>;
   /** Number of targets that it was sent to and that may have run it. */
@@ -109,7 +109,7 @@
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     const { calls, budgets } = this.#deps;
     const classified = calls?.begin(route, req.origin);
-    const isNestedCall = classified?.isCall ?? false;
+    const isCall = classified?.isCall ?? false;
     if (classified?.isOwn ?? true) {
       budgets.onFirstTry(route);
     }
@@ -118,7 +118,7 @@
     const result = await this.#dispatchWithRetries({
       route,
       req,
-      isNestedCall,
+      isCall,
       tried,
       ...counts,
     });
@@ -177,11 +177,11 @@
   }
 
   /** Whether to retry the search for a nested call that was refused: it can still be served before its deadline. */
-  #mayAwaitRoom({ route, req, isNestedCall, refusals }: DispatchState): boolean {
+  #mayAwaitRoom({ route, req, isCall, refusals }: DispatchState): boolean {
     const { clock, policy } = this.#deps;
     const retryAt = clock.now() + NESTED_CALL_BACKOFF_MS * 2 ** refusals;
     const isInTime = retryAt + policy.typicalMs(route) < req.deadlineAt;
-    return isNestedCall && isInTime && !req.left.aborted && !this.#closed;
+    return isCall && isInTime && !req.left.aborted && !this.#closed;
   }
 
   #delay(ms: number): Promise<void> {
@@ -191,8 +191,8 @@
   #findSlot(state: DispatchState): SlotFinder {
     const { policy, hop, clock, log } = this.#deps;
     const requestSlot: HopLink["requestSlot"] = (...args) => hop.requestSlot(...args);
-    const { route, req, tried, isNestedCall } = state;
-    const request = { route, isCall: isNestedCall, isExpendable: this.#hasSpareAttempt(state) };
+    const { route, req, tried, isCall } = state;
+    const request = { route, isCall, isExpendable: this.#hasSpareAttempt(state) };
     const finder = new SlotFinder({ policy, requestSlot, clock, log }, request, req, tried);
     this.#finders.add(finder);
     void finder.result.then(() => this.#finders.delete(finder));
