--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -134,7 +134,7 @@
   }
 
   noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void {
-    const view = this.#views.getOrCreate(target);
+    const view = this.#views.of(target);
     this.#recordLoad(target, view, reply.load);
     if (ms !== undefined) {
       view.link.noteAnswer(ms);
@@ -142,7 +142,7 @@
   }
 
   noteQueued(target: TargetInfo, load: GateLoad): void {
-    this.#recordLoad(target, this.#views.getOrCreate(target), load);
+    this.#recordLoad(target, this.#views.of(target), load);
   }
 
   noteWait({ service }: RouteMatch, waitedMs: number): void {
@@ -155,19 +155,19 @@
   }
 
   noteLoad(id: TargetId, load: GateLoad): void {
-    const view = this.#views.get(id);
+    const view = this.#views.find(id);
     if (view) {
       this.#views.recordLoad(view, load);
     }
   }
 
   noteTimeout(target: TargetInfo): void {
-    this.#views.getOrCreate(target).link.noteSilence();
+    this.#views.of(target).link.noteSilence();
   }
 
   begin(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
     const { clock } = this.#deps;
-    const view = this.#views.getOrCreate(target);
+    const view = this.#views.of(target);
     const startedAt = clock.now();
     view.inFlight += 1;
     return (outcome) => {
@@ -210,7 +210,7 @@
     const candidates: Candidate[] = [];
     for (const target of this.#targetsOf(route)) {
       if (target.state === TargetState.Ready && !tried.has(target.id)) {
-        const candidate = { target, view: this.#views.getOrCreate(target) };
+        const candidate = { target, view: this.#views.of(target) };
         if (!stopsTooSoon(snapshot, candidate)) {
           candidates.push(candidate);
         }
@@ -251,7 +251,7 @@
   #rotation(targets: readonly TargetInfo[], floor: number): Set<TargetId> {
     const now = this.#deps.clock.now();
     const candidates = targets.map((target) => {
-      const candidate = { target, view: this.#views.getOrCreate(target) };
+      const candidate = { target, view: this.#views.of(target) };
       return {
         id: target.id,
         slots: target.slots,
--- a/src/sidecar/routing/TargetViews.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -44,8 +44,8 @@
     this.#startedAt = deps.clock.now();
   }
 
-  /** Returns the view of a target; a new incarnation of the target gets a new view. */
-  getOrCreate({ id, born }: TargetInfo): TargetView {
+  /** Returns the view of a target, creating it on first use and for each new incarnation of the target. */
+  of({ id, born }: TargetInfo): TargetView {
     let view = this.#views.get(id);
     if (view?.born !== born) {
       view = {
@@ -63,7 +63,7 @@
   }
 
   /** Returns the view of a target; undefined if there is none yet. */
-  get(id: TargetId): TargetView | undefined {
+  find(id: TargetId): TargetView | undefined {
     return this.#views.get(id);
   }
 
