--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -155,7 +155,7 @@
   }
 
   noteLoad(id: TargetId, load: GateLoad): void {
-    const view = this.#views.find(id);
+    const view = this.#views.existing(id);
     if (view) {
       this.#views.recordLoad(view, load);
     }
--- a/src/sidecar/routing/TargetViews.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -63,7 +63,7 @@
   }
 
   /** Returns the view of a target; undefined if there is none yet. */
-  find(id: TargetId): TargetView | undefined {
+  existing(id: TargetId): TargetView | undefined {
     return this.#views.get(id);
   }
 
