--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -41,7 +41,10 @@
  */
 const PROBE_MAX_AGE_MS = 4000;
 
-/** While requests of the service wait for slots, a target is probed after this share of the delay that its gate asks for. */
+/**
+ * While requests of the service wait for slots, a target is probed after this share of the delay that its
+ * gate asks for.
+ */
 const CONGESTED_PROBE_SHARE = 0.3;
 
 /** Average wait for a slot from which on a service counts as congested, ms. */
@@ -282,7 +285,10 @@
     });
   }
 
-  /** Expected response time, ms, including the cost of the failure risk; higher for a new target, to avoid a stampede to it. */
+  /**
+   * Expected response time, ms, including the cost of the failure risk; higher for a new target, to avoid a
+   * stampede to it.
+   */
   #cost(snapshot: PickSnapshot, candidate: Candidate): number {
     const { target, view } = candidate;
     const load = this.#views.freshLoad(view, snapshot.now);
@@ -320,7 +326,10 @@
   }
 }
 
-/** Whether the co-located sidecar is being stopped and will exit before the request would end. After the announced exit it may have restarted, so the target may be picked again. */
+/**
+ * Whether the co-located sidecar is being stopped and will exit before the request would end. After the
+ * announced exit it may have restarted, so the target may be picked again.
+ */
 function stopsTooSoon(
   { now, typicalMs, isExpendable }: PickSnapshot,
   { view }: Candidate,
--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -23,7 +23,10 @@
   /** Name of the service whose target is co-located with this sidecar and its callers; empty if there is none. */
   readonly callerService: string;
   readonly budgets: RetryBudgets;
-  /** Borrows retry tokens from other sidecars when this one's share of the retry budget is used up; without it, none are borrowed. */
+  /**
+   * Borrows retry tokens from other sidecars when this one's share of the retry budget is used up; without
+   * it, none are borrowed.
+   */
   readonly borrower?: Pick<RetryTokenBorrower, "borrow">;
   /** Whether this sidecar has started recently, and may not know all targets yet; false if left out. */
   readonly isStarting?: () => boolean;
@@ -44,7 +47,10 @@
  */
 const HEDGE_FACTOR = 2.5;
 
-/** Grants of one request that may expire, as after a pause of the machine, before targets with expired grants are excluded. */
+/**
+ * Grants of one request that may expire, as after a pause of the machine, before targets with expired grants
+ * are excluded.
+ */
 const MAX_EXPIRED_BEFORE_SWITCH = 3;
 
 /**
@@ -169,7 +175,10 @@
     }
   }
 
-  /** Whether to retry a search that found no target: one may announce itself soon, and the caller is still connected. */
+  /**
+   * Whether to retry a search that found no target: one may announce itself soon, and the caller is still
+   * connected.
+   */
   #mayAwaitTarget({ startedAt, deadlineAt, left }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
     const holdUntil = Math.min(startedAt + STARTUP_HOLD_MS, deadlineAt);
@@ -319,7 +328,10 @@
     return route.idempotent && sends < route.attempts && !isStream(req.body);
   }
 
-  /** Whether to send the request again after a not-run. If the target itself refused it, the request reached the target, so this takes a retry token. */
+  /**
+   * Whether to send the request again after a not-run. If the target itself refused it, the request reached
+   * the target, so this takes a retry token.
+   */
   async #mayResend(state: DispatchState, last: ForwardResult): Promise<boolean> {
     if (isStream(state.req.body)) {
       return false;
@@ -331,7 +343,10 @@
     return state.refusedSends <= MAX_REFUSED_SENDS && this.#takeRetryToken(state);
   }
 
-  /** Takes a retry token for the service from this sidecar's budget, or borrows from another sidecar; false and reported if there is none. */
+  /**
+   * Takes a retry token for the service from this sidecar's budget, or borrows from another sidecar; false
+   * and reported if there is none.
+   */
   async #takeRetryToken(state: DispatchState): Promise<boolean> {
     const { budgets, borrower, log } = this.#deps;
     const { route, req } = state;
--- a/src/sidecar/routing/RoutingPolicy.ts
+++ b/src/sidecar/routing/RoutingPolicy.ts
@@ -18,7 +18,10 @@
   readonly target: TargetInfo;
   /** Estimated probability that it fails the request, from its gate's last report. */
   readonly risk: number;
-  /** The service's floor keeps it in rotation although it is gray: it takes requests that the healthy targets have no room for. */
+  /**
+   * The service's floor keeps it in rotation although it is gray: it takes requests that the healthy targets
+   * have no room for.
+   */
   readonly isKept: boolean;
 }
 
@@ -37,7 +40,10 @@
   pick(request: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined;
   /** Lists the suspect and ejected targets, lowest risk first: the floor keeps the first ones in rotation. */
   suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[];
-  /** Records the reply to a slot request and its round-trip time, ms; undefined if the request waited in the admission queue. */
+  /**
+   * Records the reply to a slot request and its round-trip time, ms; undefined if the request waited in the
+   * admission queue.
+   */
   noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void;
   /** Records that a slot request was put in the admission queue of `target`, whose gate reports `load`. */
   noteQueued(target: TargetInfo, load: GateLoad): void;
--- a/src/sidecar/routing/SlotFinder.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -67,7 +67,10 @@
  */
 const UNRESPONSIVE_MS = 150;
 
-/** Time without a reply after which a slot request is abandoned, ms. It was sent three times by then, so the other sidecar is down or unreachable. */
+/**
+ * Time without a reply after which a slot request is abandoned, ms. It was sent three times by then, so the
+ * other sidecar is down or unreachable.
+ */
 const ABANDON_MS = 500;
 
 /**
@@ -167,7 +170,10 @@
     this.#refuse("the caller has left");
   };
 
-  /** Sends a slot request to the next target, if the limits allow one now; refuses when nothing is left to try or wait for. */
+  /**
+   * Sends a slot request to the next target, if the limits allow one now; refuses when nothing is left to try
+   * or wait for.
+   */
   #requestNext(): void {
     if (this.#done) {
       return;
--- a/src/sidecar/routing/TargetViews.ts
+++ b/src/sidecar/routing/TargetViews.ts
@@ -8,7 +8,10 @@
 /** Age up to which a reported load is used to estimate waits, ms. */
 const LOAD_MAX_AGE_MS = 2000;
 
-/** Age up to which a reported health state is used, ms. Longer than for the load: gates report health changes at once. A report may get lost, so the state expires. */
+/**
+ * Age up to which a reported health state is used, ms. Longer than for the load: gates report health changes
+ * at once. A report may get lost, so the state expires.
+ */
 const HEALTH_MAX_AGE_MS = 5000;
 
 /** Minimum time between removals of the views of departed targets, ms. */
@@ -32,7 +35,10 @@
   readonly clock: Clock;
 }
 
-/** What this sidecar knows about each target, from its own slot requests and from gates' load reports, with the age limits of that data. */
+/**
+ * What this sidecar knows about each target, from its own slot requests and from gates' load reports, with
+ * the age limits of that data.
+ */
 export class TargetViews {
   readonly #deps: TargetViewsDeps;
   readonly #startedAt: number;
@@ -102,7 +108,10 @@
     this.#views.clear();
   }
 
-  /** Targets seen soon after this sidecar's start are taken to have existed before it, so they are not ramped up as new. */
+  /**
+   * Targets seen soon after this sidecar's start are taken to have existed before it, so they are not ramped
+   * up as new.
+   */
   #firstSeenTime(): number {
     const now = this.#deps.clock.now();
     return now - this.#startedAt < LOAD_MAX_AGE_MS ? -Infinity : now;
