--- a/src/common/Verdict.ts
+++ b/src/common/Verdict.ts
@@ -1,26 +1,26 @@
 import type { TargetId } from "./ids/TargetId.ts";
 
 /**
- * What a caller may believe about a forwarded request once burdockpass has
- * answered. Every answer carries one, in the `x-burdockpass-verdict` header.
+ * Outcome of a forwarded request: whether a target ran it, as far as burdockpass
+ * knows. Every response to a caller carries it in the `x-burdockpass-verdict` header.
  *
- * - `done`: a target answered in full; `status` is its HTTP status.
- * - `not-run`: no target ran it, and none will. Only given when that is certain:
- *   refused before any byte was written to a target, no target to send to, or a
- *   target's explicit word that it did not run it.
+ * - `done`: a target sent a complete response; `status` is its HTTP status.
+ * - `not-run`: no target ran the request, and none will. Only given when that is
+ *   certain: it was refused before any byte was written to a target, there was no
+ *   target to send it to, or a target stated explicitly that it did not run it.
  * - `in-progress`: an earlier request with the same idempotency key is still
- *   running; this one was not run, and a resend will get that one's answer.
- * - `may-have-run`: bytes reached a target but no whole answer came back
- *   (timeout, reset, truncated body). A caller must not assume either way.
+ *   running. This one was not run; a retry will get the earlier one's response.
+ * - `may-have-run`: bytes were sent to a target but no complete response came back
+ *   (timeout, reset, truncated body). The caller must not assume either outcome.
  */
 export type Verdict =
   | { readonly kind: "done"; readonly target: TargetId; readonly status: number }
   | {
       readonly kind: "not-run";
       readonly reason: string;
-      /** When it is worth coming back, ms. */
+      /** Delay after which a retry is worthwhile, ms. */
       readonly retryAfterMs: number;
-      /** HTTP status for the caller where 503 would mislead. */
+      /** HTTP status to send to the caller where 503 would be misleading. */
       readonly status?: number;
     }
   | { readonly kind: "in-progress"; readonly retryAfterMs: number }
@@ -28,7 +28,7 @@
       readonly kind: "may-have-run";
       readonly target: TargetId;
       readonly reason: string;
-      /** The time for it ran out; otherwise it was cut off on the way. */
+      /** True when the request's deadline passed; false when the connection broke or the response was truncated. */
       readonly timedOut: boolean;
       readonly retryAfterMs: number;
     };
