--- a/src/common/document/Annotations.ts
+++ b/src/common/document/Annotations.ts
@@ -1,4 +1,4 @@
 import { z } from "zod";
 
-/** What another system keeps beside an item: stored and given back with it, never interpreted. */
+/** Data that another system attaches to an item: stored and returned with it, never interpreted. */
 export const Annotations = z.record(z.string(), z.unknown()).optional();
--- a/src/common/document/Limits.ts
+++ b/src/common/document/Limits.ts
@@ -2,18 +2,18 @@
 import { Annotations } from "./Annotations.ts";
 import { Millis } from "./Millis.ts";
 
-/** What a caller's connection may send, and how long it may take or stay idle. */
+/** Size and time limits on callers' connections. */
 export const Limits = z.strictObject({
-  /** Request line and headers together; Node's own default. */
+  /** Request line and headers together, bytes; the default is Node's own. */
   maxHeaderBytes: z.number().int().positive().default(16_384),
-  /** The largest request body, 64 MiB unless set: full trend reports are uploaded whole. */
+  /** The largest request body, bytes; 64 MiB by default, because full trend reports are uploaded in one request. */
   maxBodyBytes: z.number().int().positive().default(67_108_864),
-  /** From the first byte of a request to the end of its headers. */
+  /** Longest time from the first byte of a request to the end of its headers. */
   headerTimeoutMs: Millis.default(10_000),
-  /** A kept connection without a request for this long is closed. */
+  /** A keep-alive connection is closed after this long without a request. */
   idleTimeoutMs: Millis.default(30_000),
   annotations: Annotations,
 });
 
-/** Limits on callers' connections, as the document holds them. */
+/** A parsed {@link Limits}, with defaults filled in. */
 export type Limits = z.infer<typeof Limits>;
--- a/src/common/document/Millis.ts
+++ b/src/common/document/Millis.ts
@@ -1,4 +1,4 @@
 import { z } from "zod";
 
-/** Milliseconds, more than none. */
+/** A positive number of milliseconds. */
 export const Millis = z.number().positive();
--- a/src/common/document/OperatorDocument.ts
+++ b/src/common/document/OperatorDocument.ts
@@ -7,12 +7,13 @@
   new Set(items.map((i) => i.name)).size === items.length;
 
 /**
- * The operators' document: the one validated YAML file through which operators
- * drive the whole fleet. Its version, which only ever rises, travels beside it.
+ * The operators' document: the one validated YAML file with which operators
+ * configure the whole fleet. Its version, which only increases, is sent along
+ * with it and is not part of it.
  */
 export const OperatorDocument = z.strictObject({
   services: z.array(Service).min(1).refine(unique, { error: "service names must be unique" }),
-  /** Routes by host and path prefix; services may also list simple routes of their own. */
+  /** Routes by host and path prefix; a service may also define simple routes itself. */
   routes: z.array(Route).default([]).refine(unique, { error: "route names must be unique" }),
   limits: Limits.prefault({}),
 });
--- a/src/common/document/Route.ts
+++ b/src/common/document/Route.ts
@@ -2,39 +2,39 @@
 import { Annotations } from "./Annotations.ts";
 import { Millis } from "./Millis.ts";
 
-/** One part of a weighted split. */
+/** One service's part of a weighted traffic split. */
 const Part = z.strictObject({
   service: z.string().min(1),
-  /** Its share of the requests is its weight over the sum of the weights. */
+  /** The service gets this weight divided by the sum of the weights as its share of the requests. */
   weight: z.number().min(0),
 });
 
 /**
- * One route: which requests it takes, by host and path prefix, and how each of
- * them is to be served. Among the routes of a host, the longest prefix wins.
+ * One route: which requests it matches, by host and path prefix, and how they are
+ * forwarded. Among the routes of a host, the longest matching prefix wins.
  */
 export const Route = z.strictObject({
   name: z.string().min(1),
-  /** The `Host` it answers for, without a port; left out, any host that no other route names. */
+  /** The `Host` that it matches, without a port; if omitted, any host that no other route names. */
   host: z.string().min(1).optional(),
   prefix: z.string().startsWith("/"),
-  /** False: runs at most once for each of the caller's attempts, and is never sent on a guess. */
+  /** If false, a request runs at most once for each of the caller's attempts, and is never sent speculatively. */
   idempotent: z.boolean(),
-  /** Large bodies or answers: kept in the caller's own availability zone where that costs little else. */
+  /** Large request or response bodies: kept in the caller's availability zone where that has little other cost. */
   bulk: z.boolean().default(false),
-  /** The longest that a caller is kept waiting for the final answer. */
+  /** Longest time that a caller waits for the final response. */
   timeoutMs: Millis,
-  /** Targets to which one attempt of a caller may be sent, the first included. */
+  /** Number of targets that one attempt of a caller may be sent to, including the first. */
   attempts: z.number().int().min(1),
-  /** 0 is the most urgent. */
+  /** 0 is the highest priority. */
   priority: z.number().int().min(0).default(1),
-  /** An answer within this time is as good as any; placing and retries aim for it. */
+  /** Latency objective: target selection and retries aim for it, and a faster response brings no benefit. */
   objectiveMs: Millis.optional(),
-  /** The service that serves it; or {@link Part}s of several, by weight. */
+  /** The service that handles the requests; `split` divides them among several by weight instead. */
   service: z.string().min(1).optional(),
   split: z.array(Part).min(1).optional(),
   annotations: Annotations,
 });
 
-/** A route, as the document holds it. */
+/** A parsed {@link Route}, with defaults filled in. */
 export type Route = z.infer<typeof Route>;
