--- a/src/common/document/DocumentHistory.test.ts
+++ b/src/common/document/DocumentHistory.test.ts
@@ -4,7 +4,7 @@
 import { EMPTY_DOCUMENT } from "./EMPTY_DOCUMENT.ts";
 import { Service } from "./Service.ts";
 
-const add = (base: number, version: number, name = "a"): DocumentUpdate => ({
+const edit = (base: number, version: number, name = "a"): DocumentUpdate => ({
   kind: "edit",
   base,
   version,
@@ -22,26 +22,31 @@
 const cases: readonly {
   name: string;
   updates: readonly DocumentUpdate[];
-  said: readonly string[];
+  results: readonly string[];
   version: number;
 }[] = [
-  { name: "edits in order", updates: [add(0, 2), add(2, 5)], said: ["taken", "taken"], version: 5 },
   {
-    name: "an edit that was missed",
-    updates: [add(0, 2), add(3, 5)],
-    said: ["taken", "gap"],
+    name: "edits in order",
+    updates: [edit(0, 2), edit(2, 5)],
+    results: ["taken", "taken"],
+    version: 5,
+  },
+  {
+    name: "an edit after a missed one",
+    updates: [edit(0, 2), edit(3, 5)],
+    results: ["taken", "gap"],
     version: 2,
   },
   {
     name: "an older version",
-    updates: [whole(7), add(0, 2)],
-    said: ["taken", "stale"],
+    updates: [whole(7), edit(0, 2)],
+    results: ["taken", "stale"],
     version: 7,
   },
   {
     name: "the same version again",
     updates: [whole(7), whole(7)],
-    said: ["taken", "stale"],
+    results: ["taken", "stale"],
     version: 7,
   },
 ];
@@ -51,17 +56,17 @@
     const history = new DocumentHistory();
     t.deepEqual(
       c.updates.map((u) => history.take(u)),
-      c.said,
+      c.results,
     );
     t.is(history.version, c.version);
   });
 }
 
-test("whoever is a little behind gets the edits, whoever is further behind the whole", (t) => {
+test("since: a peer slightly behind gets the edits, one further behind the whole document", (t) => {
   const history = new DocumentHistory();
   history.take(whole(3));
-  history.take(add(3, 4));
-  history.take(add(4, 9, "b"));
+  history.take(edit(3, 4));
+  history.take(edit(4, 9, "b"));
   t.deepEqual(
     history.since(4).map((u) => u.version),
     [9],
--- a/src/common/document/DocumentHistory.ts
+++ b/src/common/document/DocumentHistory.ts
@@ -4,20 +4,21 @@
 import type { OperatorDocument } from "./OperatorDocument.ts";
 
 /**
- * Edits kept to pass on: at the 31,000 changes a day of the two-year size, the last
- * ten minutes'. Whoever is further behind is sent the whole document.
+ * Number of edits kept for peers that lag behind: the last ten minutes' at 31,000
+ * changes a day, the load expected in two years. A peer that is further behind is
+ * sent the whole document.
  */
-const KEPT_EDITS = 256;
+const MAX_KEPT_EDITS = 256;
 
 type Edit = Extract<DocumentUpdate, { kind: "edit" }>;
 
-/** The document in force, and its last few changes for those that are a little behind. */
+/** The current document, and its most recent edits for peers that lag slightly behind. */
 export class DocumentHistory {
   #version = 0;
   #document = EMPTY_DOCUMENT;
   readonly #edits: Edit[] = [];
 
-  /** Version in force; 0 before any. */
+  /** Current version; 0 before any document has been accepted. */
   get version(): number {
     return this.#version;
   }
@@ -27,8 +28,8 @@
   }
 
   /**
-   * Takes in a newer version. `stale` for one that is not newer, `gap` for an edit
-   * of a version that is not the one in force: the whole document is needed then.
+   * Applies a newer version. Returns `stale` for one that is not newer, and `gap` for
+   * an edit whose base is not the current version: the whole document is needed then.
    */
   take(update: DocumentUpdate): "taken" | "stale" | "gap" {
     if (update.version <= this.#version) {
@@ -40,7 +41,7 @@
     } else if (update.base === this.#version) {
       this.#document = editDocument(this.#document, update.edit);
       this.#edits.push(update);
-      this.#edits.splice(0, this.#edits.length - KEPT_EDITS);
+      this.#edits.splice(0, this.#edits.length - MAX_KEPT_EDITS);
     } else {
       return "gap";
     }
@@ -48,7 +49,7 @@
     return "taken";
   }
 
-  /** What brings someone with `version` up to date, in order; nothing when it is. */
+  /** Updates, in order, that bring a peer from `version` to the current version; empty when it is up to date. */
   since(version: number): readonly DocumentUpdate[] {
     if (version >= this.#version) {
       return [];
@@ -57,7 +58,7 @@
     return from >= 0 ? this.#edits.slice(from) : [this.whole];
   }
 
-  /** The version in force as a whole. */
+  /** The current version as a whole document. */
   get whole(): DocumentUpdate {
     return { kind: "whole", version: this.#version, document: this.#document };
   }
