--- a/src/common/document/YamlSource.ts
+++ b/src/common/document/YamlSource.ts
@@ -4,7 +4,7 @@
 
 type Path = readonly (string | number)[];
 
-/** A YAML text whose values can be traced back to their lines. */
+/** A parsed YAML text that can give the line of each of its values. */
 export class YamlSource {
   readonly #lines = new LineCounter();
   readonly #doc: Document.Parsed;
@@ -13,7 +13,7 @@
     this.#doc = parseDocument(text, { lineCounter: this.#lines, prettyErrors: false });
   }
 
-  /** Syntax errors; empty when the text can be read. */
+  /** Syntax errors; empty when the text is valid YAML. */
   get problems(): DocumentProblem[] {
     return this.#doc.errors.map((err) => ({
       line: this.#lines.linePos(err.pos[0]).line,
@@ -27,7 +27,7 @@
     return this.#doc.toJS() as unknown;
   }
 
-  /** A schema issue as problems: an unknown key is reported where it stands, each one by itself. */
+  /** Converts a schema issue to problems: one for each unknown key, at the key's own line. */
   problemsOf(issue: z.core.$ZodIssue): DocumentProblem[] {
     const path = issue.path.map((p) => (typeof p === "symbol" ? p.toString() : p));
     if (issue.code === "unrecognized_keys") {
@@ -36,7 +36,7 @@
     return [this.problemAt(path, issue.message)];
   }
 
-  /** A problem at `path`, with the line of its node or of its nearest parent when it is missing. */
+  /** A problem at `path`, with the line of its node, or of its nearest parent if the node is missing. */
   problemAt(path: Path, message: string): DocumentProblem {
     return { line: this.#lineOf(path), field: path.join("."), message };
   }
