--- a/src/common/document/checkDocument.test.ts
+++ b/src/common/document/checkDocument.test.ts
@@ -11,7 +11,7 @@
 
 const cases: readonly { name: string; text: string; problems: readonly string[] }[] = [
   {
-    name: "a route to a service",
+    name: "a route to an existing service",
     text: route("timeoutMs: 1, attempts: 1, service: desk"),
     problems: [],
   },
@@ -43,7 +43,7 @@
     problems: ["5 routes.0: exactly one of service and split is required"],
   },
   {
-    name: "no timeout and no attempts, both reported",
+    name: "a timeout and attempts of 0, both reported",
     text: route("timeoutMs: 0, attempts: 0, service: desk"),
     problems: [
       "5 routes.0.timeoutMs: Too small: expected number to be >0",
@@ -56,7 +56,7 @@
     problems: ["5 routes.0.host: Too small: expected string to have >=1 characters"],
   },
   {
-    name: "simple routes without what they need",
+    name: "simple routes without the fields they require",
     text: "services:\n  - name: desk\n    routes: [/desk]\n",
     problems: [
       "2 services.0.requests: required beside routes",
@@ -65,7 +65,7 @@
     ],
   },
   {
-    name: "items that are none",
+    name: "items that are null",
     text: `${head}  -\n  - { name: r, prefix: /x/, idempotent: true, timeoutMs: 1, attempts: 1, split: [~] }\n`,
     problems: [
       "5 routes.0: Invalid input: expected object, received null",
--- a/src/common/document/checkDocument.ts
+++ b/src/common/document/checkDocument.ts
@@ -1,38 +1,38 @@
 import type { Route } from "./Route.ts";
 import type { Service } from "./Service.ts";
 
-/** A rule that the document breaks as a whole, at a path into it. */
+/** A violation of a rule that spans several fields, and the path at which it is reported. */
 export interface Violation {
   readonly path: readonly (string | number)[];
   readonly message: string;
 }
 
-/** What a service with simple routes of its own must say besides. */
-const BESIDE_ROUTES = ["requests", "timeoutMs", "retry"] as const;
+/** Fields that are required for a service with simple routes. */
+const REQUIRED_WITH_ROUTES = ["requests", "timeoutMs", "retry"] as const;
 
-/** The parts of a document that rules across items look at; anything else may be missing or wrong. */
-interface Checkable {
+/** The parts of an unvalidated document that these rules read; any other part may be missing or invalid. */
+interface UnvalidatedDocument {
   readonly services?: readonly Partial<Service>[];
   readonly routes?: readonly Partial<Route>[];
 }
 
 /**
- * The rules that no single field can check: simple routes are complete, routes
- * name services that exist, splits have a weight. Takes documents whose fields may
- * be wrong besides, so that an operator sees every problem at once.
+ * Checks the rules that span several fields: simple routes are complete, routes name
+ * existing services, and the weights of a split have a positive sum. Accepts
+ * documents that also have invalid fields, so that an operator sees all problems at once.
  */
-export function checkDocument(doc: Checkable): Violation[] {
-  const services = listOf(doc.services);
-  const routes = listOf(doc.routes);
-  const known = new Set(services.map((s) => s.name));
+export function checkDocument(doc: UnvalidatedDocument): Violation[] {
+  const services = toList(doc.services);
+  const routes = toList(doc.routes);
+  const knownServices = new Set(services.map((s) => s.name));
   return [
     ...services.flatMap((s, i) => checkSimpleRoutes(s, i)),
-    ...routes.flatMap((r, i) => checkDestination(r, i, known)),
+    ...routes.flatMap((r, i) => checkDestination(r, i, knownServices)),
   ];
 }
 
-/** The value as a list of items; what is no list or no item counts as empty, and the schema reports it. */
-function listOf<T extends object>(value: readonly T[] | undefined): readonly Partial<T>[] {
+/** The value as a list of objects. A value that is not a list, or an item that is not an object, counts as empty; the schema reports it. */
+function toList<T extends object>(value: readonly T[] | undefined): readonly Partial<T>[] {
   const items: readonly unknown[] = Array.isArray(value) ? value : [];
   return items.map((item) => (typeof item === "object" && item !== null ? (item as T) : {}));
 }
@@ -41,7 +41,7 @@
   if (service.routes === undefined) {
     return [];
   }
-  return BESIDE_ROUTES.filter((key) => service[key] === undefined).map((key) => ({
+  return REQUIRED_WITH_ROUTES.filter((key) => service[key] === undefined).map((key) => ({
     path: ["services", i, key],
     message: "required beside routes",
   }));
@@ -50,24 +50,26 @@
 function checkDestination(
   route: Partial<Route>,
   i: number,
-  known: ReadonlySet<string | undefined>,
+  knownServices: ReadonlySet<string | undefined>,
 ): Violation[] {
-  const at = (...more: (string | number)[]) => ["routes", i, ...more];
+  const pathTo = (...more: (string | number)[]) => ["routes", i, ...more];
   const { service, split } = route;
   if ((service === undefined) === (split === undefined)) {
-    return [{ path: at(), message: "exactly one of service and split is required" }];
+    return [{ path: pathTo(), message: "exactly one of service and split is required" }];
   }
   if (service !== undefined) {
-    return known.has(service) ? [] : [{ path: at("service"), message: `no service ${service}` }];
+    return knownServices.has(service)
+      ? []
+      : [{ path: pathTo("service"), message: `no service ${service}` }];
   }
-  const parts = listOf(split);
-  const strangers = parts.flatMap((p, n) =>
-    known.has(p.service)
+  const parts = toList(split);
+  const unknownServices = parts.flatMap((p, n) =>
+    knownServices.has(p.service)
       ? []
-      : [{ path: at("split", n, "service"), message: `no service ${p.service ?? "named"}` }],
+      : [{ path: pathTo("split", n, "service"), message: `no service ${p.service ?? "named"}` }],
   );
   const sum = parts.reduce((total, p) => total + (p.weight ?? 0), 0);
   return sum > 0
-    ? strangers
-    : [...strangers, { path: at("split"), message: "the weights add up to 0" }];
+    ? unknownServices
+    : [...unknownServices, { path: pathTo("split"), message: "the weights add up to 0" }];
 }
