--- a/src/common/document/diffDocuments.ts
+++ b/src/common/document/diffDocuments.ts
@@ -2,7 +2,7 @@
 import type { DocumentEdit } from "./DocumentEdit.ts";
 import type { OperatorDocument } from "./OperatorDocument.ts";
 
-/** The edit that turns `from` into `to`, but for the order of items that both have. */
+/** The edit that turns `from` into `to`, except for the order of items that both contain. */
 export function diffDocuments(from: OperatorDocument, to: OperatorDocument): DocumentEdit {
   const edit = {
     services: diffTables(from.services, to.services),
