--- a/src/common/document/editDocument.test.ts
+++ b/src/common/document/editDocument.test.ts
@@ -21,24 +21,24 @@
     limits: { ...EMPTY_DOCUMENT.limits, maxBodyBytes: 1 + tables.routes.length },
   }));
 
-/** The same document with its items in the order of their names. */
+/** The same document with its items sorted by name. */
 const sorted = (doc: OperatorDocument): OperatorDocument => ({
   services: doc.services.toSorted((a, b) => (a.name < b.name ? -1 : 1)),
   routes: doc.routes.toSorted((a, b) => (a.name < b.name ? -1 : 1)),
   limits: doc.limits,
 });
 
-test("the difference of two documents turns the one into the other", (t) => {
+test("editDocument: applying the difference of two documents to the first gives the second", (t) => {
   fc.assert(
     fc.property(document, document, (from, to) => {
-      const made = editDocument(from, diffDocuments(from, to));
-      t.deepEqual(sorted(made), sorted(to));
+      const edited = editDocument(from, diffDocuments(from, to));
+      t.deepEqual(sorted(edited), sorted(to));
     }),
     { numRuns: 1000, seed: 3 },
   );
 });
 
-test("equal documents have an empty difference", (t) => {
+test("diffDocuments: equal documents have an empty difference", (t) => {
   fc.assert(
     fc.property(document, (doc) => {
       const edit = diffDocuments(doc, structuredClone(doc));
--- a/src/common/document/editDocument.ts
+++ b/src/common/document/editDocument.ts
@@ -1,7 +1,7 @@
 import type { DocumentEdit } from "./DocumentEdit.ts";
 import type { OperatorDocument } from "./OperatorDocument.ts";
 
-/** The document that `edit` makes of `doc`. Items keep their places; new ones come last. */
+/** Applies `edit` to `doc` and returns the result. Existing items keep their order; new ones are appended. */
 export function editDocument(doc: OperatorDocument, edit: DocumentEdit): OperatorDocument {
   return {
     services: editTable(doc.services, edit.services.set, edit.services.drop),
