--- a/src/common/document/parseOperatorDocument.test.ts
+++ b/src/common/document/parseOperatorDocument.test.ts
@@ -4,12 +4,12 @@
 
 const demo = readFileSync(new URL("../../../config/demo.yaml", import.meta.url), "utf8");
 
-test("the embedded demo document is valid", (t) => {
+test("accepts the demo document config/demo.yaml", (t) => {
   const parsed = parseOperatorDocument(demo);
   t.true(parsed.ok);
 });
 
-const badCases: readonly { name: string; text: string; line: number; field: string }[] = [
+const invalidCases: readonly { name: string; text: string; line: number; field: string }[] = [
   {
     name: "floor above 1",
     text: demo.replace("floor: 0.5", "floor: 1.5"),
@@ -28,7 +28,7 @@
   {
     name: "misspelt field",
     text: demo.replace("timeoutMs: 2000", "timeoutMS: 2000"),
-    // Missing timeoutMs comes first, at the line of the service that lacks it.
+    // The missing timeoutMs is reported first, at the line of the service that lacks it.
     line: 3,
     field: "services.0.timeoutMs",
   },
@@ -40,11 +40,11 @@
   },
 ];
 
-for (const c of badCases) {
-  test(`rejects a document with ${c.name}, naming line and field`, (t) => {
+for (const c of invalidCases) {
+  test(`rejects a document with ${c.name}, reporting its line and field`, (t) => {
     const parsed = parseOperatorDocument(c.text);
     if (parsed.ok) {
-      t.fail("accepted a bad document");
+      t.fail("accepted an invalid document");
       return;
     }
     const problem = parsed.problems[0];
--- a/src/common/document/parseOperatorDocument.ts
+++ b/src/common/document/parseOperatorDocument.ts
@@ -9,9 +9,8 @@
   | { readonly ok: false; readonly problems: readonly DocumentProblem[] };
 
 /**
- * Parses and validates the operators' YAML document. Problems name the line
- * (1-based) and the field path, in the order of the lines, so an operator can
- * find each one.
+ * Parses and validates the operators' YAML document. Each problem gives its line
+ * (1-based) and field path; problems are sorted by line.
  */
 export function parseOperatorDocument(text: string): ParseResult {
   const source = new YamlSource(text);
