--- a/src/common/document/validateDocument.ts
+++ b/src/common/document/validateDocument.ts
@@ -2,7 +2,7 @@
 import { checkDocument, type Violation } from "./checkDocument.ts";
 import { OperatorDocument } from "./OperatorDocument.ts";
 
-/** The result of {@link validateDocument}: the document, or everything that is wrong with it. */
+/** The result of {@link validateDocument}: the document, or all problems with it. */
 type Validated =
   | { readonly ok: true; readonly doc: OperatorDocument }
   | {
@@ -11,7 +11,7 @@
       readonly across: readonly Violation[];
     };
 
-/** Checks a document that was read from wherever, field by field and as a whole. */
+/** Validates a parsed document from any source: each field against the schema, and the rules across fields. */
 export function validateDocument(raw: unknown): Validated {
   const checked = OperatorDocument.safeParse(raw);
   const across = typeof raw === "object" && raw !== null ? checkDocument(raw) : [];
