--- a/src/common/ids/Brand.ts
+++ b/src/common/ids/Brand.ts
@@ -1,5 +1,5 @@
 /**
- * A nominal type: a `T` that the compiler keeps apart from other `T`s, so a
- * target id cannot be passed where a service name is wanted.
+ * A nominal type: a `T` that the compiler distinguishes from other `T`s, so that a
+ * target id cannot be passed where a service name is expected.
  */
 export type Brand<T, B extends string> = T & { readonly __brand: B };
--- a/src/common/ids/SidecarId.ts
+++ b/src/common/ids/SidecarId.ts
@@ -1,7 +1,7 @@
 import type { Brand } from "./Brand.ts";
 
-/** One sidecar process, unique in the fleet; names its member entry in gossip. */
+/** Identifies a sidecar, unique in the fleet; also the key of its member entry in gossip. */
 export type SidecarId = Brand<string, "SidecarId">;
 
-/** Brands a string as a {@link SidecarId}; the caller vouches for its form. */
+/** Brands a string as a {@link SidecarId}; the format is not checked. */
 export const SidecarId = (raw: string): SidecarId => raw as SidecarId;
--- a/src/common/ids/TargetId.ts
+++ b/src/common/ids/TargetId.ts
@@ -1,7 +1,7 @@
 import type { Brand } from "./Brand.ts";
 
-/** One target (back end instance), unique in the fleet, as it announced itself. */
+/** Identifies a target (a back-end instance), unique in the fleet; chosen by the target when it announces itself. */
 export type TargetId = Brand<string, "TargetId">;
 
-/** Brands a string as a {@link TargetId}; the caller vouches for its form. */
+/** Brands a string as a {@link TargetId}; the format is not checked. */
 export const TargetId = (raw: string): TargetId => raw as TargetId;
--- a/src/common/ids/ZoneName.ts
+++ b/src/common/ids/ZoneName.ts
@@ -1,7 +1,7 @@
 import type { Brand } from "./Brand.ts";
 
-/** An availability zone, as a process learns it from its settings. */
+/** Name of an availability zone, as given in a process's settings. */
 export type ZoneName = Brand<string, "ZoneName">;
 
-/** Brands a string as a {@link ZoneName}; the caller vouches for its form. */
+/** Brands a string as a {@link ZoneName}; the format is not checked. */
 export const ZoneName = (raw: string): ZoneName => raw as ZoneName;
