--- a/src/common/http/OpenConnections.ts
+++ b/src/common/http/OpenConnections.ts
@@ -1,28 +1,33 @@
 import type { Server } from "node:http";
 import type { Socket } from "node:net";
 
-/** What is known of one connection. */
+/** State of one connection. */
 interface Connection {
-  /** Requests whose answers have not been handed over to the kernel to their end. */
-  open: number;
-  /** Bytes that had been read when the last answer ended: more since then are the next request. */
-  readBefore: number;
-  /** It was idle when it was looked at last. */
+  /** Number of requests whose responses have not been handed over completely to the kernel. */
+  pendingRequests: number;
+  /** Bytes that had been read when the last response ended; any more belong to the next request. */
+  bytesReadAtLastResponse: number;
+  /** Whether the connection was idle at the previous check. */
   wasIdle: boolean;
 }
 
 /**
- * The connections of an HTTP server, and which of them are idle, for its stop. Node's
- * own `closeIdleConnections`, which its `close` calls too, takes a connection for
- * idle as soon as its answer was written by the program, though megabytes of it may
- * still wait to be sent, and also when a request has arrived that was not read yet.
+ * Tracks the connections of an HTTP server, to close idle ones during shutdown. It
+ * replaces Node's `closeIdleConnections`, which `close` also calls: that one treats a
+ * connection as idle as soon as the program has written the response, although
+ * megabytes of it may still be buffered, and also when a request has arrived but has
+ * not been read yet.
  */
 export class OpenConnections {
   readonly #connections = new Map<Socket, Connection>();
 
   constructor(server: Server) {
     server.on("connection", (socket) => {
-      this.#connections.set(socket, { open: 0, readBefore: 0, wasIdle: false });
+      this.#connections.set(socket, {
+        pendingRequests: 0,
+        bytesReadAtLastResponse: 0,
+        wasIdle: false,
+      });
       socket.once("close", () => {
         this.#connections.delete(socket);
       });
@@ -32,10 +37,10 @@
       if (!connection) {
         return;
       }
-      connection.open += 1;
+      connection.pendingRequests += 1;
       res.once("close", () => {
-        connection.open -= 1;
-        connection.readBefore = socket.bytesRead;
+        connection.pendingRequests -= 1;
+        connection.bytesReadAtLastResponse = socket.bytesRead;
       });
     });
     server.closeIdleConnections = () => {
@@ -44,22 +49,25 @@
   }
 
   /**
-   * Closes connections on which there is neither a request, nor a part of one, nor an
-   * answer, now and the last time that this was called: in between, whatever had
-   * arrived was read. To be called again and again.
+   * Closes connections that had no request, partial request or unsent response both
+   * now and at the previous call: between two calls, everything that had arrived is
+   * read. Must be called repeatedly.
    */
   closeIdle(): void {
-    // Timers run before sockets are read: after a stall, what arrived meanwhile is read first.
+    // Timers run before sockets are read: after a stall, let the data that arrived meanwhile be read first.
     setImmediate(() => {
       for (const [socket, connection] of this.#connections) {
-        this.#look(socket, connection);
+        this.#closeIfIdle(socket, connection);
       }
     });
   }
 
-  #look(socket: Socket, connection: Connection): void {
-    const { open, readBefore, wasIdle } = connection;
-    const isIdle = open === 0 && socket.bytesRead === readBefore && socket.writableLength === 0;
+  #closeIfIdle(socket: Socket, connection: Connection): void {
+    const { pendingRequests, bytesReadAtLastResponse, wasIdle } = connection;
+    const isIdle =
+      pendingRequests === 0 &&
+      socket.bytesRead === bytesReadAtLastResponse &&
+      socket.writableLength === 0;
     if (isIdle && wasIdle) {
       socket.destroy();
     }
