--- a/src/common/http/readBody.ts
+++ b/src/common/http/readBody.ts
@@ -1,6 +1,6 @@
 import type { IncomingMessage } from "node:http";
 
-/** Reads a request's body whole; undefined when it is larger than `maxBytes`. Rejects when it is cut off. */
+/** Reads the whole body of a request; undefined if it exceeds `maxBytes`. Rejects when the body is truncated. */
 export async function readBody(
   req: IncomingMessage,
   maxBytes: number,
