--- a/src/common/http/readJson.ts
+++ b/src/common/http/readJson.ts
@@ -1,12 +1,12 @@
 import type { IncomingMessage } from "node:http";
 import { readBody } from "./readBody.ts";
 
-/** A body that is JSON, or why it is none. */
+/** A parsed JSON body, or the reason why it could not be parsed. */
 type JsonBody =
   | { readonly ok: true; readonly value: unknown }
   | { readonly ok: false; readonly reason: "too large" | "not JSON" };
 
-/** Reads a request's body as JSON. Rejects when it is cut off. */
+/** Reads the body of a request as JSON, of at most `maxBytes`. Rejects when the body is truncated. */
 export async function readJson(req: IncomingMessage, maxBytes: number): Promise<JsonBody> {
   const body = await readBody(req, maxBytes);
   if (!body) {
