--- a/src/common/http/sendJson.ts
+++ b/src/common/http/sendJson.ts
@@ -1,6 +1,6 @@
 import type { ServerResponse } from "node:http";
 
-/** Answers with `body` as JSON. */
+/** Sends a response with `body` as JSON. */
 export function sendJson(res: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
   res.writeHead(status, {
