--- a/src/common/http/startHttpServer.test.ts
+++ b/src/common/http/startHttpServer.test.ts
@@ -3,17 +3,17 @@
 import test from "ava";
 import { startHttpServer } from "./startHttpServer.ts";
 
-/** More than the kernel's buffers between two sockets on loopback hold. */
+/** More than the kernel buffers between two loopback sockets can hold. */
 const LARGE_BYTES = 24 << 20;
 
 const sleep = (ms: number) => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** A server whose requests are answered by `listener`, and a connection to it. */
-async function open(listener: RequestListener) {
+/** Starts a server with `listener` and opens a connection to it. */
+async function startAndConnect(listener: RequestListener) {
   const server = await startHttpServer(createServer(listener), "127.0.0.1:0");
   const socket = connect(server.port, "127.0.0.1");
   await new Promise((resolve) => socket.once("connect", resolve));
-  const ended = new Promise<string>((resolve) => {
+  const closed = new Promise<string>((resolve) => {
     socket.once("error", (err) => {
       resolve(err.message);
     });
@@ -21,10 +21,10 @@
       resolve("closed");
     });
   });
-  return { server, socket, ended };
+  return { server, socket, closed };
 }
 
-function bytesOf(socket: Socket): () => number {
+function countBytes(socket: Socket): () => number {
   let bytes = 0;
   socket.on("data", (chunk: Buffer) => (bytes += chunk.length));
   return () => bytes;
@@ -32,11 +32,11 @@
 
 const GET = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
-// Story: a sidecar is stopped as planned while a phone on a slow link is still receiving a
-// report. The answer had been written to its end as far as the process is concerned, so Node
-// took the connection for idle and closed it: the phone got half a report.
-test("a stop lets an answer that is still being sent reach its end", async (t) => {
-  const { server, socket, ended } = await open((_req, res) => {
+// Guards against truncated responses on a planned stop: once a process has written a whole
+// response, Node treats the connection as idle and closes it, even while the kernel is still
+// sending it to a client on a slow link, which then receives only part of it.
+test("stop: a response that is still being sent is completed", async (t) => {
+  const { server, socket, closed } = await startAndConnect((_req, res) => {
     res.end(Buffer.alloc(LARGE_BYTES));
   });
   socket.pause();
@@ -44,46 +44,46 @@
   await sleep(100);
   const stopped = server.dispose();
   await sleep(300);
-  const bytes = bytesOf(socket);
+  const bytes = countBytes(socket);
   socket.resume();
-  t.is(await ended, "closed");
+  t.is(await closed, "closed");
   t.true(bytes() > LARGE_BYTES, `${bytes()} bytes`);
   await stopped;
 });
 
-test("a stop closes a connection that is kept open without a request", async (t) => {
-  const { server, socket, ended } = await open((_req, res) => {
+test("stop: an idle keep-alive connection is closed", async (t) => {
+  const { server, socket, closed } = await startAndConnect((_req, res) => {
     res.end("ok");
   });
   socket.write(GET);
   await new Promise((resolve) => socket.once("data", resolve));
   await server.dispose();
-  t.is(await ended, "closed");
+  t.is(await closed, "closed");
 });
 
-test("a stop waits for a request whose headers are arriving, and for its answer", async (t) => {
-  const { server, socket, ended } = await open((_req, res) => {
+test("stop: a request whose headers are still arriving gets its response", async (t) => {
+  const { server, socket, closed } = await startAndConnect((_req, res) => {
     setTimeout(() => res.end("ok"), 150);
   });
-  const bytes = bytesOf(socket);
+  const bytes = countBytes(socket);
   socket.write(GET.slice(0, 20));
   await sleep(50);
   const stopped = server.dispose();
   await sleep(250);
   socket.write(GET.slice(20));
-  t.is(await ended, "closed");
+  t.is(await closed, "closed");
   t.true(bytes() > 0);
   await stopped;
 });
 
-// Story: a sidecar on a slowed machine had not been scheduled for 300 ms when its time to close
-// came. Requests had arrived meanwhile that the process had not read yet; timers run before
-// sockets are read, so their connections were taken for idle and reset.
-test("a stop answers a request that has arrived and was not read yet", async (t) => {
-  const { server, socket, ended } = await open((_req, res) => {
+// Guards against resetting connections after a stall: a process that was not scheduled for
+// 300 ms runs its shutdown timer before it reads its sockets, so connections with unread
+// requests looked idle and were reset.
+test("stop: a request that has arrived but has not been read yet gets its response", async (t) => {
+  const { server, socket, closed } = await startAndConnect((_req, res) => {
     res.end("ok");
   });
-  const bytes = bytesOf(socket);
+  const bytes = countBytes(socket);
   socket.write(GET);
   while (bytes() === 0) {
     await sleep(10);
@@ -91,7 +91,7 @@
   const before = bytes();
   socket.write(GET);
   const stopped = server.dispose();
-  t.is(await ended, "closed");
+  t.is(await closed, "closed");
   t.true(bytes() > before);
   await stopped;
 });
--- a/src/common/http/startHttpServer.ts
+++ b/src/common/http/startHttpServer.ts
@@ -3,15 +3,15 @@
 import type { IDisposable } from "../lifecycle/IDisposable.ts";
 import { OpenConnections } from "./OpenConnections.ts";
 
-/** A listening HTTP server; disposing it stops new connections and waits for open requests. */
+/** A listening HTTP server. Disposing it stops accepting connections and waits for open requests. */
 interface StartedHttpServer extends IDisposable {
   readonly port: number;
 }
 
-/** How often a stopping server closes sockets that have gone idle, ms. */
+/** Interval at which a server that is shutting down closes idle connections, ms. */
 const IDLE_SWEEP_MS = 100;
 
-/** Listens on `hostPort` (port 0 picks one). */
+/** Starts listening on `hostPort` (port 0 picks a free port). */
 export async function startHttpServer(
   server: Server,
   hostPort: string,
@@ -29,16 +29,16 @@
     port: (server.address() as AddressInfo).port,
     dispose: () =>
       new Promise<void>((resolve) => {
-        // close() waits for every open socket. A socket busy at close time turns
-        // into an idle keep-alive one after its answer, and a single
-        // closeIdleConnections() has already run by then: seen, a planned stop
-        // waited 28 s for callers' keep-alive timeouts. So idle sockets are
-        // closed again and again until close() completes.
+        // close() waits for every open socket and closes idle ones only once. A
+        // socket that is busy at that time becomes an idle keep-alive connection
+        // after its response; a planned stop waited 28 s for callers' keep-alive
+        // timeouts because of this. So idle sockets are closed repeatedly until
+        // close() completes.
         const sweeper = setInterval(() => {
           connections.closeIdle();
         }, IDLE_SWEEP_MS);
-        // After the sockets were looked at: connections that wait to be accepted are, and
-        // not reset.
+        // Deferred until pending socket events were handled, so that connections waiting in
+        // the accept backlog are accepted and not reset.
         setImmediate(() => {
           server.close(() => {
             clearInterval(sweeper);
