--- a/src/common/http/startHttpServer.test.ts
+++ b/src/common/http/startHttpServer.test.ts
@@ -33,8 +33,8 @@
 const GET = "GET / HTTP/1.1\r\nhost: a\r\n\r\n";
 
 // Guards against truncated responses on a planned stop: once a process has written a whole
-// response, Node treats the connection as idle and closes it, even while the kernel is still
-// sending it to a client on a slow link, which then receives only part of it.
+// response, Node treats the connection as idle and closes it, even while data is still being
+// sent to a client on a slow link, which then receives only part of the response.
 test("stop: a response that is still being sent is completed", async (t) => {
   const { server, socket, closed } = await startAndConnect((_req, res) => {
     res.end(Buffer.alloc(LARGE_BYTES));
