--- a/src/common/lifecycle/Clock.ts
+++ b/src/common/lifecycle/Clock.ts
@@ -1,13 +1,13 @@
 import type { Timer } from "./Timer.ts";
 
 /**
- * Time as a process experiences it: a steady clock that the time of day cannot
- * move, and timers on it. Every deadline, lease and retention inside a process is
- * measured on one; between processes only remaining milliseconds travel.
+ * A monotonic clock, independent of changes to the time of day, with timers. Every
+ * deadline, lease and retention period within a process is measured with one;
+ * messages between processes carry only remaining milliseconds.
  */
 export interface Clock {
-  /** Milliseconds since an arbitrary start; never goes back. */
+  /** Milliseconds since an arbitrary start; never decreases. */
   now(): number;
-  /** Calls `act` once after `ms`, unless cancelled before. */
-  after(ms: number, act: () => void): Timer;
+  /** Calls `callback` once after `ms` milliseconds, unless cancelled before. */
+  after(ms: number, callback: () => void): Timer;
 }
--- a/src/common/lifecycle/SystemClock.ts
+++ b/src/common/lifecycle/SystemClock.ts
@@ -1,11 +1,11 @@
 import type { Clock } from "./Clock.ts";
 import type { Timer } from "./Timer.ts";
 
-/** The process's own steady clock and timers. */
+/** The monotonic clock and timers of the Node process. */
 export const SystemClock: Clock = {
   now: () => performance.now(),
-  after(ms: number, act: () => void): Timer {
-    const timer = setTimeout(act, ms);
+  after(ms: number, callback: () => void): Timer {
+    const timer = setTimeout(callback, ms);
     return {
       cancel: () => {
         clearTimeout(timer);
--- a/src/common/lifecycle/Timer.ts
+++ b/src/common/lifecycle/Timer.ts
@@ -1,5 +1,5 @@
-/** A call that is due later. */
+/** A scheduled callback. */
 export interface Timer {
-  /** Takes the call back; harmless once it was made. */
+  /** Cancels the callback; has no effect once it has run. */
   cancel(): void;
 }
