--- a/src/common/lifecycle/Disposable.ts
+++ b/src/common/lifecycle/Disposable.ts
@@ -1,9 +1,9 @@
 import type { IDisposable } from "./IDisposable.ts";
 
 /**
- * Base of every long-lived component: it registers what it owns, and
- * disposing it disposes those in reverse order, so stopping a parent stops
- * its whole subtree (a supervisor tree inside one process).
+ * Base class of long-lived components. A component registers the children that it
+ * owns; disposing it disposes them in reverse order, so that stopping a parent stops
+ * its whole subtree (a supervision tree within one process).
  */
 export abstract class Disposable implements IDisposable {
   readonly #owned: IDisposable[] = [];
@@ -20,7 +20,7 @@
     return child;
   }
 
-  /** Disposes owned children, last registered first. */
+  /** Disposes the owned children, the last registered one first. */
   async dispose(): Promise<void> {
     if (this.#disposed) {
       return;
--- a/src/common/lifecycle/IDisposable.ts
+++ b/src/common/lifecycle/IDisposable.ts
@@ -1,5 +1,5 @@
-/** Something that holds a resource (socket, timer, file) until disposed. */
+/** An object that holds resources (a socket, timer or file) until it is disposed. */
 export interface IDisposable {
-  /** Releases what it holds; safe to call twice. */
+  /** Releases the resources; safe to call more than once. */
   dispose(): Promise<void> | void;
 }
--- a/src/common/lifecycle/toDisposable.ts
+++ b/src/common/lifecycle/toDisposable.ts
@@ -1,6 +1,6 @@
 import type { IDisposable } from "./IDisposable.ts";
 
-/** Wraps a release function as an {@link IDisposable} that runs it once. */
+/** Wraps a release function as an {@link IDisposable} that calls it at most once. */
 export function toDisposable(release: () => Promise<void> | void): IDisposable {
   let done = false;
   return {
