--- a/src/common/lifecycle/StallClock.ts
+++ b/src/common/lifecycle/StallClock.ts
@@ -1,31 +1,31 @@
 import { Disposable } from "./Disposable.ts";
 import { every } from "./every.ts";
 
-/** How often the clock looks for a late timer, ms. */
+/** Interval of the timer whose lateness is measured, ms. */
 const TICK_MS = 10;
 
-/** Lateness below this is ordinary timer jitter, ms. */
+/** Lateness up to this is ordinary timer jitter, ms. */
 const JITTER_MS = 5;
 
 /**
- * Adds up the time this process stood still (garbage collection, a busy
- * machine, a freeze), seen as timers that fire late. Latencies measured across
- * a stall are this process's fault, not the target's; without this, one
- * stall here makes every target look slow at the same moment.
+ * Measures the total time for which this process was stalled (garbage collection, a
+ * busy machine, a freeze), detected by timers that fire late. A latency measured
+ * across a stall is caused by this process, not by the target; without this
+ * correction, one stall makes every target look slow at the same time.
  */
 export class StallClock extends Disposable {
   readonly #now: () => number;
-  #total = 0;
-  #last: number;
+  #stalledMs = 0;
+  #lastTickAt: number;
 
-  /** `now` is a monotonic clock, ms. */
+  /** `now` reads a monotonic clock, ms. */
   constructor(now: () => number) {
     super();
     this.#now = now;
-    this.#last = now();
+    this.#lastTickAt = now();
   }
 
-  /** Starts watching until disposed. */
+  /** Starts measuring, until disposed. */
   start(): void {
     this.register(
       every(TICK_MS, () => {
@@ -34,20 +34,20 @@
     );
   }
 
-  /** Notes one timer firing. */
+  /** Records one firing of the timer. */
   tick(): void {
     const now = this.#now();
-    const late = now - this.#last - TICK_MS;
-    if (late > JITTER_MS) {
-      this.#total += late;
+    const lateMs = now - this.#lastTickAt - TICK_MS;
+    if (lateMs > JITTER_MS) {
+      this.#stalledMs += lateMs;
     }
-    this.#last = now;
+    this.#lastTickAt = now;
   }
 
-  /** Time stalled since the start, up to this moment, ms. */
+  /** Total time stalled since the start, ms; includes a stall that is still going on. */
   get totalMs(): number {
-    // A stall that is still going on: the tick that would book it has not fired yet.
-    const pending = this.#now() - this.#last - TICK_MS;
-    return this.#total + (pending > JITTER_MS ? pending : 0);
+    // A current stall: the tick that will record it has not fired yet.
+    const pendingMs = this.#now() - this.#lastTickAt - TICK_MS;
+    return this.#stalledMs + (pendingMs > JITTER_MS ? pendingMs : 0);
   }
 }
