--- a/src/common/rpc/CHANNEL_OPTIONS.ts
+++ b/src/common/rpc/CHANNEL_OPTIONS.ts
@@ -1,11 +1,11 @@
 import type { ChannelOptions } from "@grpc/grpc-js";
 
 /**
- * gRPC channel options for all our own connections. Keepalive pings find a
- * connection that has gone silent for good (something between the ends lost
- * track of it); their timeout exceeds the round trip of a congested link, whose connections
- * must not be dropped as dead. Callers notice silence sooner: by their timeouts, or by what reaches them another way.
- * The short backoff reaches a restarted process within a second; gRPC's default backoff grows to two minutes.
+ * gRPC channel options for all connections between burdockpass processes. Keepalive pings detect a connection that has
+ * become permanently silent because a device on the path lost its state. Their timeout exceeds the round trip of a
+ * congested link, whose connections must not be dropped as dead. The code that makes calls notices silence sooner, by
+ * its own timeouts or by messages that arrive over another path. The short backoff reconnects to a restarted process
+ * within a second; gRPC's default backoff grows to two minutes.
  */
 export const CHANNEL_OPTIONS: ChannelOptions = {
   "grpc.keepalive_time_ms": 10_000,
