--- a/src/common/rpc/ControlClient.ts
+++ b/src/common/rpc/ControlClient.ts
@@ -17,14 +17,14 @@
   Watch(req: ProtoTypes["WatchRequest"]): grpc.ClientReadableStream<ProtoTypes["ConfigVersion"]>;
 };
 
-/** Opens a client to the control replica at `address` (host:port, no TLS); `note` hears of every message. */
-export const ControlClient = (address: string, note?: NoteBytes): ControlClient => {
+/** Creates a client of the control replica at `address` (host:port, no TLS); `onMessage` is called for every message. */
+export const ControlClient = (address: string, onMessage?: NoteBytes): ControlClient => {
   const { service } = loadProto().Control as grpc.ServiceClientConstructor;
-  const metered = note ? meterService(service, note) : service;
-  const ctor = grpc.makeGenericClientConstructor(metered, "Control");
+  const meteredService = onMessage ? meterService(service, onMessage) : service;
+  const ctor = grpc.makeGenericClientConstructor(meteredService, "Control");
   return new ctor(address, grpc.credentials.createInsecure(), {
     ...CHANNEL_OPTIONS,
-    // Channels to one address share a connection otherwise, one that has gone silent, too.
+    // Otherwise channels to one address share a connection, even one that has become silent.
     "grpc.use_local_subchannel_pool": 1,
   }) as unknown as ControlClient;
 };
--- a/src/common/rpc/NoteBytes.ts
+++ b/src/common/rpc/NoteBytes.ts
@@ -1,2 +1,2 @@
-/** Told the encoded size of each message sent or received, and by which method. */
+/** Called with the encoded size of each message sent or received, and the RPC method. */
 export type NoteBytes = (method: string, bytes: number) => void;
--- a/src/common/rpc/meterService.ts
+++ b/src/common/rpc/meterService.ts
@@ -2,34 +2,34 @@
 import type { NoteBytes } from "./NoteBytes.ts";
 
 /**
- * A service definition that reports the size of every message as it is encoded
- * or decoded, for the traffic metrics. gRPC adds 5 bytes of framing a message
- * and HTTP/2 a few more, not counted here.
+ * Wraps a service definition so that `onMessage` is called with the size of every
+ * message that is encoded or decoded, for the traffic metrics. The size excludes
+ * gRPC's 5 bytes of framing for each message, and the framing of HTTP/2.
  */
 export function meterService(
   service: grpc.ServiceDefinition,
-  note: NoteBytes,
+  onMessage: NoteBytes,
 ): grpc.ServiceDefinition {
   const metered = Object.entries(service).map(([name, method]) => {
-    const encoding = <T>(encode: (value: T) => Buffer) => {
+    const meterEncoding = <T>(encode: (value: T) => Buffer) => {
       return (value: T) => {
         const bytes = encode(value);
-        note(name, bytes.length);
+        onMessage(name, bytes.length);
         return bytes;
       };
     };
-    const decoding = <T>(decode: (bytes: Buffer) => T) => {
+    const meterDecoding = <T>(decode: (bytes: Buffer) => T) => {
       return (bytes: Buffer) => {
-        note(name, bytes.length);
+        onMessage(name, bytes.length);
         return decode(bytes);
       };
     };
     const wrapped = {
       ...method,
-      requestSerialize: encoding(method.requestSerialize),
-      requestDeserialize: decoding(method.requestDeserialize),
-      responseSerialize: encoding(method.responseSerialize),
-      responseDeserialize: decoding(method.responseDeserialize),
+      requestSerialize: meterEncoding(method.requestSerialize),
+      requestDeserialize: meterDecoding(method.requestDeserialize),
+      responseSerialize: meterEncoding(method.responseSerialize),
+      responseDeserialize: meterDecoding(method.responseDeserialize),
     };
     return [name, wrapped] as const;
   });
