--- a/src/common/rpc/ProtoTypes.ts
+++ b/src/common/rpc/ProtoTypes.ts
@@ -1,6 +1,7 @@
 /**
- * The plain objects that proto-loader gives for `proto/burdockpass.proto`
- * (keepCase, longs as numbers, defaults filled). Kept by hand beside it.
+ * Types of the plain objects that proto-loader produces for the messages of
+ * `proto/burdockpass.proto` (keepCase, longs as numbers, defaults filled in).
+ * Maintained by hand: update it whenever that file changes.
  */
 export interface ProtoTypes {
   ApplyRequest: {
