--- a/src/common/rpc/RenewedClient.ts
+++ b/src/common/rpc/RenewedClient.ts
@@ -2,34 +2,34 @@
 import type { IDisposable } from "../lifecycle/IDisposable.ts";
 import { CHANNEL_OPTIONS } from "./CHANNEL_OPTIONS.ts";
 
-/** Calls that fail in a row before the connection is taken for dead. */
+/** Consecutive failed calls after which the connection is considered dead. */
 const FAILURES_TO_RENEW = 2;
 
-/** How a client treats its connection. */
+/** When a client closes or replaces its connection. */
 interface RenewedClientOptions {
-  /** The connection is closed when no call was made for this long, ms, and opened again by the next. */
+  /** The connection is closed after this long without a call, ms, and opened again by the next call. */
   readonly idleMs?: number;
   /**
-   * Failures in a row before the connection is taken for dead are doubled with each connection on which no call
-   * succeeds, up to this many: a slow link needs more time to open a connection than calls on it need.
+   * Upper limit of the consecutive failures after which the connection is considered dead. The number doubles with
+   * each connection on which no call succeeds, because on a slow link, opening a connection takes longer than a call.
    */
   readonly mostFailures?: number;
 }
 
 /**
- * A gRPC client that is opened afresh when calls fail in a row. A connection that
- * something in between has lost track of, or one whose opening packets went into a
- * cut, can stay stuck for tens of seconds after the path is good again; a new one
- * works at once.
+ * A gRPC client that opens a new connection after consecutive failed calls. When a
+ * device on the path has lost the state of a connection, or its first packets were
+ * lost in a network partition, the connection can stay stuck for tens of seconds
+ * after the network has recovered; a new connection works at once.
  */
 export class RenewedClient<T extends grpc.Client> implements IDisposable {
-  readonly #open: () => T;
+  readonly #createClient: () => T;
   readonly #idleMs: number;
-  readonly #mostFailures: number;
+  readonly #maxFailures: number;
   #client: T | undefined;
   #failures = 0;
   #failuresToRenew = FAILURES_TO_RENEW;
-  #underWay = 0;
+  #callsInFlight = 0;
   #idleTimer: NodeJS.Timeout | undefined;
 
   constructor(
@@ -38,26 +38,26 @@
     { idleMs = Infinity, mostFailures = FAILURES_TO_RENEW }: RenewedClientOptions = {},
   ) {
     this.#idleMs = idleMs;
-    this.#mostFailures = mostFailures;
-    this.#open = () =>
+    this.#maxFailures = mostFailures;
+    this.#createClient = () =>
       new ctor(address, grpc.credentials.createInsecure(), {
         ...CHANNEL_OPTIONS,
-        // Channels to one address share a connection otherwise, the stuck one too.
+        // Otherwise channels to one address share a connection, even a stuck one.
         "grpc.use_local_subchannel_pool": 1,
       }) as unknown as T;
   }
 
-  /** The client, opened on first use. */
+  /** The gRPC client, created on first use. */
   get client(): T {
-    this.#client ??= this.#open();
+    this.#client ??= this.#createClient();
     return this.#client;
   }
 
-  /** Runs one call on the client, and notes how it went. */
+  /** Runs one call on the client, and counts its success or failure. */
   async call<Res>(act: (client: T) => Promise<Res>): Promise<Res> {
     const { client } = this;
     clearTimeout(this.#idleTimer);
-    this.#underWay += 1;
+    this.#callsInFlight += 1;
     try {
       const res = await act(client);
       this.#failures = 0;
@@ -66,18 +66,18 @@
     } catch (err) {
       this.#failures += 1;
       if (this.#failures >= this.#failuresToRenew && this.#client === client) {
-        this.#failuresToRenew = Math.min(this.#mostFailures, this.#failuresToRenew * 2);
+        this.#failuresToRenew = Math.min(this.#maxFailures, this.#failuresToRenew * 2);
         this.renew();
       }
       throw err;
     } finally {
-      this.#underWay -= 1;
+      this.#callsInFlight -= 1;
       this.#closeWhenIdle();
     }
   }
 
   #closeWhenIdle(): void {
-    if (this.#underWay === 0 && this.#idleMs < Infinity) {
+    if (this.#callsInFlight === 0 && this.#idleMs < Infinity) {
       clearTimeout(this.#idleTimer);
       this.#idleTimer = setTimeout(() => {
         this.dispose();
@@ -85,7 +85,7 @@
     }
   }
 
-  /** Leaves the connection behind; calls under way on it end as they may. */
+  /** Closes the client, so that the next call opens a new connection. Calls in flight on the old one are left to end on their own. */
   renew(): void {
     this.#failures = 0;
     this.#client?.close();
