--- a/src/common/rpc/VersionParts.ts
+++ b/src/common/rpc/VersionParts.ts
@@ -2,12 +2,12 @@
 
 type ConfigVersion = ProtoTypes["ConfigVersion"];
 
-/** Joins the parts that {@link splitVersion} made of versions, as they arrive. */
+/** Joins the parts of a document version, made by {@link splitVersion}, as they arrive. */
 export class VersionParts {
   #documents: string[] = [];
   #edits: string[] = [];
 
-  /** Takes a part; returns the whole version with its last one. */
+  /** Adds the next part; returns the whole version once its last part was added. */
   add(part: ConfigVersion): ConfigVersion | undefined {
     this.#documents.push(part.document);
     this.#edits.push(part.edit);
--- a/src/common/rpc/splitVersion.test.ts
+++ b/src/common/rpc/splitVersion.test.ts
@@ -5,16 +5,20 @@
 
 const texts: readonly { name: string; text: string; parts: number }[] = [
   { name: "short", text: "short", parts: 1 },
-  { name: "as long as a part", text: "x".repeat(32 * 1024), parts: 1 },
+  { name: "exactly one part long", text: "x".repeat(32 * 1024), parts: 1 },
   { name: "long", text: "x".repeat(100_000), parts: 4 },
-  { name: "long, with surrogate pairs where parts end", text: "x" + "😀".repeat(40_000), parts: 3 },
+  {
+    name: "long, with surrogate pairs at the ends of parts",
+    text: "x" + "😀".repeat(40_000),
+    parts: 3,
+  },
 ];
 
 for (const { name, text, parts } of texts) {
   for (const field of ["document", "edit"] as const) {
-    test(`version parts: a ${field} that is ${name} arrives as it was`, (t) => {
+    test(`version parts: a ${field} that is ${name} is joined without change`, (t) => {
       const whole = { ...documentWire.heartbeat(7), base: 3, [field]: text };
-      // Each part is encoded as UTF-8 on its own.
+      // As on the wire, each part is encoded as UTF-8 separately.
       const sent = splitVersion(whole).map((part) => ({
         ...part,
         [field]: Buffer.from(part[field]).toString(),
