--- a/src/common/rpc/callUnary.ts
+++ b/src/common/rpc/callUnary.ts
@@ -2,13 +2,13 @@
 
 type Callback<Res> = (err: grpc.ServiceError | null, res?: Res) => void;
 
-/** A unary method of a client, bound to its client. */
+/** A unary method of a gRPC client, bound to that client. */
 type Unary<Req, Res> = (req: Req, cb: Callback<Res>) => grpc.ClientUnaryCall;
 
 /**
- * Makes one unary call, and gives it up after `timeoutMs` by the steady clock: a
- * deadline of gRPC's own is a time of day, which may jump. Rejects with the
- * service error; a call given up ends as CANCELLED.
+ * Makes one unary call, and cancels it after `timeoutMs` on the monotonic clock: a
+ * gRPC deadline is a time of day, which may jump. Rejects with the service error;
+ * a call that times out is rejected as CANCELLED.
  */
 export function callUnary<Req, Res>(
   method: Unary<Req, Res>,
@@ -21,7 +21,7 @@
       if (err) {
         reject(err);
       } else if (res === undefined) {
-        reject(new Error("neither an answer nor an error"));
+        reject(new Error("the call returned neither a response nor an error"));
       } else {
         resolve(res);
       }
