--- a/src/common/rpc/datagramCodec.ts
+++ b/src/common/rpc/datagramCodec.ts
@@ -4,23 +4,23 @@
 
 type Datagram = ProtoTypes["Datagram"];
 
-let method: grpc.MethodDefinition<Datagram, Datagram> | undefined;
+let sendMethod: grpc.MethodDefinition<Datagram, Datagram> | undefined;
 
-/** The encoding of datagrams, loaded on first use. */
-function definition(): grpc.MethodDefinition<Datagram, Datagram> {
+/** The method definition whose serializers encode and decode datagrams, loaded on first use. */
+function loadSendMethod(): grpc.MethodDefinition<Datagram, Datagram> {
   const { service } = loadProto().Datagrams as grpc.ServiceClientConstructor;
-  method ??= service.Send as grpc.MethodDefinition<Datagram, Datagram>;
-  return method;
+  sendMethod ??= service.Send as grpc.MethodDefinition<Datagram, Datagram>;
+  return sendMethod;
 }
 
-/** Datagrams to and from bytes, by their definition in `proto/burdockpass.proto`. */
+/** Encodes and decodes datagrams, as defined in `proto/burdockpass.proto`. */
 export const datagramCodec = {
-  encode: (message: Datagram): Buffer => definition().requestSerialize(message),
+  encode: (message: Datagram): Buffer => loadSendMethod().requestSerialize(message),
 
-  /** Undefined for bytes that are no datagram of ours. */
+  /** Returns undefined for bytes that cannot be decoded as a datagram. */
   decode: (bytes: Buffer): Datagram | undefined => {
     try {
-      return definition().requestDeserialize(bytes);
+      return loadSendMethod().requestDeserialize(bytes);
     } catch {
       return undefined;
     }
