--- a/src/common/rpc/startGrpcServer.ts
+++ b/src/common/rpc/startGrpcServer.ts
@@ -1,18 +1,18 @@
 import * as grpc from "@grpc/grpc-js";
 import type { IDisposable } from "../lifecycle/IDisposable.ts";
 
-/** A started gRPC server; disposing it shuts it down (forcibly after a grace period). */
+/** A running gRPC server. Disposing it shuts it down, forcibly after a grace period. */
 interface StartedGrpcServer extends IDisposable {
   readonly server: grpc.Server;
   readonly port: number;
 }
 
-/** How long a graceful gRPC shutdown may take before open calls are cut, ms. */
+/** Time that a graceful shutdown may take before open calls are aborted, ms. */
 const SHUTDOWN_GRACE_MS = 2000;
 
 /**
- * Binds `server` on `hostPort` (port 0 picks one) without TLS: loopback and
- * private networks. Stopping it waits `graceMs` for open calls to end.
+ * Binds `server` to `hostPort` (port 0 picks a free port) without TLS, for loopback
+ * and private networks only. Disposing it waits up to `graceMs` for open calls to end.
  */
 export async function startGrpcServer(
   server: grpc.Server,
