--- a/src/common/storage/Disk.ts
+++ b/src/common/storage/Disk.ts
@@ -1,22 +1,22 @@
-/** A file open for writing at given places. */
+/** A file that is open for writing at given offsets. */
 export interface OpenFile {
-  /** Writes all of `bytes` at `offset`, or throws having written a part of them or none. */
+  /** Writes all of `bytes` at `offset`. When it throws, some or none of them have been written. */
   write(bytes: Buffer, offset: number): void;
-  /** Returns once everything written survives a loss of power. */
+  /** Returns once everything written is durable, that is, survives a loss of power. */
   sync(): void;
   truncate(length: number): void;
   close(): void;
 }
 
-/** The file system, as far as durable state needs it. Every call throws what the system says when it refuses. */
+/** The file system operations that durable state needs. Each throws the system's error when it fails. */
 export interface Disk {
-  /** The whole file; undefined when there is none. */
+  /** Returns the whole content of the file; undefined if it does not exist. */
   read(path: string): Buffer | undefined;
-  /** Opens a file that exists. */
+  /** Opens an existing file. */
   open(path: string): OpenFile;
   /**
-   * Puts `bytes` in place of the file, durably, creating it and its folder where need
-   * be. After a failure the file is the old one or the new one, whole either way.
+   * Replaces the content of the file with `bytes`, durably, creating the file and its
+   * folder if needed. After a failure the file has either its old or its new content, complete.
    */
   replace(path: string, bytes: Buffer): void;
 }
