--- a/src/common/storage/RecordFile.test.ts
+++ b/src/common/storage/RecordFile.test.ts
@@ -11,7 +11,7 @@
 
 const tempFile = () => join(mkdtempSync(join(tmpdir(), "records-")), "sub", "file.log");
 
-test("records come back in order on a real disk", (t) => {
+test("RecordFile: records are read back in order from a real disk", (t) => {
   const path = tempFile();
   const file = new RecordFile<number>(path);
   t.deepEqual(file.read(), []);
@@ -23,47 +23,51 @@
   t.is(file.length, readFileSync(path).length);
 });
 
-const tails: readonly { name: string; spoil: (path: string) => void; left: number[] }[] = [
+const corruptions: readonly {
+  name: string;
+  corrupt: (path: string) => void;
+  remaining: number[];
+}[] = [
   {
     name: "a torn last line",
-    spoil: (path) => {
+    corrupt: (path) => {
       writeFileSync(path, readFileSync(path).subarray(0, -3));
     },
-    left: [1, 2],
+    remaining: [1, 2],
   },
   {
     name: "zeros after the last line",
-    spoil: (path) => {
+    corrupt: (path) => {
       appendFileSync(path, Buffer.alloc(64));
     },
-    left: [1, 2, 3],
+    remaining: [1, 2, 3],
   },
   {
     name: "a changed byte in the middle",
-    spoil: (path) => {
+    corrupt: (path) => {
       const bytes = readFileSync(path);
       bytes[bytes.indexOf("2\n")] = 0x37;
       writeFileSync(path, bytes);
     },
-    left: [1],
+    remaining: [1],
   },
 ];
 
-for (const { name, spoil, left } of tails) {
-  test(`reading stops before ${name}`, (t) => {
+for (const { name, corrupt, remaining } of corruptions) {
+  test(`RecordFile: reading stops before ${name}`, (t) => {
     const path = tempFile();
     const file = new RecordFile<number>(path);
     file.rewrite([1, 2, 3]);
     file.close();
-    spoil(path);
-    t.deepEqual(new RecordFile<number>(path).read(), left);
+    corrupt(path);
+    t.deepEqual(new RecordFile<number>(path).read(), remaining);
   });
 }
 
-test("a line appended after a failed rewrite cannot tear a hole into the new file", (t) => {
-  // Story: the disk replaces the file and then reports a failure while it syncs the
-  // folder. A line appended at the old file's end would stand beyond the new one's, and
-  // what the replica acknowledges from then on would be gone at its next start.
+test("RecordFile: a failed rewrite blocks appends, which could leave a hole in the new file", (t) => {
+  // Guards against losing acknowledged records: the disk replaces the file but then fails to
+  // sync the folder. A line appended at the old file's end would be beyond the end of the new
+  // one, and everything that the replica acknowledges later would be lost at its next start.
   const disk = new FaultyDisk(() => 0.9);
   const file = new RecordFile<number>("f", disk);
   file.rewrite([1, 2, 3, 4, 5]);
@@ -86,28 +90,28 @@
   t.deepEqual(new RecordFile<number>("f", disk).read(), [6, 7, 8]);
 });
 
-test("what was acknowledged survives full disks and losses of power, in order", (t) => {
-  // Story: a disk fills up, fails in the middle of writes and loses power, over and
-  // over. A record that append() returned for must be read back, in its place; one that
-  // it threw for may be there, but only one, as the last.
+test("RecordFile: acknowledged records survive full disks and losses of power, in order", (t) => {
+  // Guards against losing or reordering records on a disk that repeatedly fills up, fails in
+  // the middle of writes and loses power. A record for which append() returned must be read
+  // back, in order; of those for which it threw, at most one may be present, as the last.
   for (let seed = 0; seed < SEEDS; seed++) {
     const random = seededRandom(seed);
     const disk = new FaultyDisk(random);
     let file = new RecordFile<string>("f", disk);
     file.rewrite([]);
-    let held: string[] = [];
-    const refused = new Set<string>();
+    let acknowledged: string[] = [];
+    const attempted = new Set<string>();
     for (let step = 0; step < 60; step++) {
       const draw = random();
       disk.fault = draw < 0.7 ? "none" : draw < 0.85 ? "refuses" : "fails-after";
       const record = `${String(step)}-${"x".repeat(Math.floor(random() * 20))}`;
       try {
         if (random() < 0.1) {
-          file.rewrite(held);
+          file.rewrite(acknowledged);
         } else {
-          refused.add(record);
+          attempted.add(record);
           file.append(record);
-          held.push(record);
+          acknowledged.push(record);
         }
       } catch (err) {
         t.true(err instanceof StorageError);
@@ -117,11 +121,11 @@
         disk.losePower();
         file = new RecordFile<string>("f", disk);
         const found = file.read();
-        const extra = found.slice(held.length);
-        t.deepEqual(found.slice(0, held.length), held, `seed ${String(seed)}`);
-        t.true(extra.length <= 1 && extra.every((r) => refused.has(r)), `seed ${String(seed)}`);
-        held = found;
-        file.rewrite(held);
+        const extra = found.slice(acknowledged.length);
+        t.deepEqual(found.slice(0, acknowledged.length), acknowledged, `seed ${String(seed)}`);
+        t.true(extra.length <= 1 && extra.every((r) => attempted.has(r)), `seed ${String(seed)}`);
+        acknowledged = found;
+        file.rewrite(acknowledged);
       }
     }
   }
--- a/src/common/storage/RecordFile.ts
+++ b/src/common/storage/RecordFile.ts
@@ -3,40 +3,40 @@
 import { StorageError } from "./StorageError.ts";
 import { systemDisk } from "./systemDisk.ts";
 
-/** Hex digits of a line's checksum, and the space after them. */
+/** Number of hex digits of a line's checksum; the prefix also has the space that follows them. */
 const CHECKSUM_CHARS = 8;
 const PREFIX_CHARS = CHECKSUM_CHARS + 1;
 
 /**
- * A file of checksummed JSON lines, each synced as it is appended. After a loss of
- * power the last, unsynced line may be whole, torn or missing; {@link read} stops at
- * the first line whose checksum fails, since nobody was told of what follows.
+ * A file of checksummed JSON lines, each synced when it is appended. After a loss of
+ * power, the last, unsynced line may be complete, torn or missing. {@link read} stops
+ * at the first line whose checksum fails, since no later line was ever acknowledged.
  */
 export class RecordFile<T> {
   readonly #path: string;
   readonly #disk: Disk;
   #file: OpenFile | undefined;
   /**
-   * Length up to which every line is known to be whole and synced, bytes. Undefined
-   * while it is not known, before the first {@link rewrite} and after a failed one.
+   * Length up to which every line is known to be complete and synced, bytes. Undefined
+   * while that is unknown: before the first {@link rewrite} and after a failed one.
    */
   #length: number | undefined;
 
-  /** `disk` is a test's own, or the real one. */
+  /** `disk` is the real file system, or a substitute in tests. */
   constructor(path: string, disk: Disk = systemDisk) {
     this.#path = path;
     this.#disk = disk;
   }
 
-  /** Bytes in the file, as far as known. */
+  /** Length of the file, bytes; 0 while it is unknown. */
   get length(): number {
     return this.#length ?? 0;
   }
 
-  /** Every whole record, oldest first; empty when there is no file. */
+  /** Returns every complete record, oldest first; empty if there is no file. */
   read(): T[] {
     const records: T[] = [];
-    for (const line of this.#text().split("\n")) {
+    for (const line of this.#readText().split("\n")) {
       const payload = line.slice(PREFIX_CHARS);
       if (line.length < PREFIX_CHARS || line.slice(0, CHECKSUM_CHARS) !== checksum(payload)) {
         break;
@@ -46,11 +46,11 @@
     return records;
   }
 
-  /** Replaces the file by `records`, atomically; later appends follow them. */
+  /** Replaces the content of the file with `records`, atomically; later appends follow them. */
   rewrite(records: readonly T[]): void {
     this.close();
-    // When this fails the old file may stand there or the new one. A line appended at
-    // the old one's end would leave a hole in the new one, and all after it be lost.
+    // After a failure either the old or the new file may be in place. A line appended at
+    // the old file's end would leave a hole in the new one, and a reader would stop there.
     this.#length = undefined;
     const bytes = Buffer.from(records.map((r) => toLine(r)).join(""));
     try {
@@ -62,12 +62,12 @@
   }
 
   /**
-   * Appends one record and syncs it. When the disk refuses, the record does not count:
-   * the next one takes its place. Refused until a {@link rewrite} has succeeded.
+   * Appends one record and syncs it. When it throws, the record was not stored, and the
+   * next one is written at its place. Throws until a {@link rewrite} has succeeded.
    */
   append(record: T): void {
     if (this.#length === undefined) {
-      throw new StorageError(this.#path, "its end is not known before it has been rewritten");
+      throw new StorageError(this.#path, "the end of the file is unknown until a rewrite succeeds");
     }
     const line = Buffer.from(toLine(record));
     try {
@@ -75,20 +75,20 @@
       this.#file.write(line, this.#length);
       this.#file.sync();
     } catch (err) {
-      this.#cutBack(this.#length);
+      this.#truncateTo(this.#length);
       throw new StorageError(this.#path, err);
     }
     this.#length += line.length;
   }
 
-  /** Closes the file; a later append opens it again. */
+  /** Closes the file; a later append reopens it. */
   close(): void {
     const file = this.#file;
     this.#file = undefined;
     file?.close();
   }
 
-  #text(): string {
+  #readText(): string {
     try {
       return this.#disk.read(this.#path)?.toString() ?? "";
     } catch (err) {
@@ -97,11 +97,11 @@
   }
 
   /**
-   * Takes back a line that was written in part when the disk filled up. If even that
-   * fails, the next append overwrites it at the same place, and a reader meets a bad
-   * checksum there and stops.
+   * Removes a line that was written partially, for example when the disk filled up. If
+   * that fails too, the next append overwrites the line at the same offset; until then, a
+   * reader finds an invalid checksum there and stops.
    */
-  #cutBack(length: number): void {
+  #truncateTo(length: number): void {
     try {
       this.#file?.truncate(length);
     } catch {
