--- a/src/common/storage/systemDisk.ts
+++ b/src/common/storage/systemDisk.ts
@@ -9,14 +9,14 @@
 import type { Disk, OpenFile } from "./Disk.ts";
 import { writeFileSynced } from "./writeFileSynced.ts";
 
-/** The real file system. */
+/** {@link Disk} on the real file system. */
 export const systemDisk: Disk = {
   read(path) {
     try {
       return readFileSync(path);
     } catch (err) {
       if ((err as NodeJS.ErrnoException).code === "ENOENT") {
-        return undefined; // The first start, or a lost disk: the caller tells them apart.
+        return undefined; // Either the first start or a lost disk; the caller distinguishes them.
       }
       throw err;
     }
@@ -26,9 +26,9 @@
     const fd = openSync(path, "r+");
     return {
       write: (bytes, offset) => {
-        // A disk that is nearly full takes a part of a write and refuses the rest with the next one.
-        for (let done = 0; done < bytes.length;) {
-          done += writeSync(fd, bytes, done, bytes.length - done, offset + done);
+        // A nearly full disk writes only part of the data; the write of the rest then fails.
+        for (let written = 0; written < bytes.length;) {
+          written += writeSync(fd, bytes, written, bytes.length - written, offset + written);
         }
       },
       sync: () => {
