--- a/src/common/settings/ControlSettings.ts
+++ b/src/common/settings/ControlSettings.ts
@@ -6,24 +6,24 @@
   role: z.literal("control"),
   id: z.string().min(1),
   zone: z.string().min(1),
-  /** For other members, sidecars and the CLI: gRPC, and datagrams at the same port. */
+  /** Address for other members, sidecars and the CLI: gRPC, and UDP datagrams on the same port. */
   listen: HostPort,
-  /** Where operators reach this replica; they are sent to the leader's. Left out, `listen`. */
+  /** Address at which operators reach this replica; other replicas direct them to the leader's. Defaults to `listen`. */
   api: HostPort.optional(),
-  /** /metrics and /status. */
+  /** Address of /metrics and /status. */
   admin: HostPort,
   dataDir: z.string().min(1),
-  /** The first control group, this replica included; a replacement asks them to be let in. */
+  /** The initial control group, including this replica; a replacement replica contacts its members to join. */
   seeds: z.array(HostPort).default([]),
-  /** VMs of control that may be lost at once; left out, as many as the first group bears. */
+  /** Number of control VMs that may be lost at the same time; defaults to the number that the initial group tolerates. */
   tolerate: z.number().int().min(0).optional(),
   /**
-   * True only when the whole system starts for the first time. Otherwise an
-   * empty data folder means a lost disk, and the replica waits to be filled in.
+   * True only when the whole system starts for the first time. Otherwise an empty
+   * data folder means that the disk was lost, and the replica waits for its data from the others.
    */
   bootstrap: z.boolean().default(false),
   gossipIntervalMs: z.number().int().positive().default(200),
 });
 
-/** A control replica's settings. */
+/** Parsed settings of a control replica. */
 export type ControlSettings = z.infer<typeof ControlSettings>;
