--- a/src/common/settings/DaemonSettings.ts
+++ b/src/common/settings/DaemonSettings.ts
@@ -2,8 +2,8 @@
 import { ControlSettings } from "./ControlSettings.ts";
 import { SidecarSettings } from "./SidecarSettings.ts";
 
-/** The daemon's own YAML settings file (not the operators' document). */
+/** The YAML settings file of one daemon (not the operators' document). */
 export const DaemonSettings = z.discriminatedUnion("role", [SidecarSettings, ControlSettings]);
 
-/** Parsed daemon settings. */
+/** Parsed settings of one daemon. */
 export type DaemonSettings = z.infer<typeof DaemonSettings>;
--- a/src/common/settings/HostPort.ts
+++ b/src/common/settings/HostPort.ts
@@ -1,4 +1,4 @@
 import { z } from "zod";
 
-/** Where something listens: a host or IP address, and a port. */
+/** A network address: a host name or IP address, and a port. */
 export const HostPort = z.string().regex(/^[^\s:]+:\d+$/, "expected host:port");
--- a/src/common/settings/SettingsError.ts
+++ b/src/common/settings/SettingsError.ts
@@ -1,6 +1,6 @@
 import type { DocumentProblem } from "../document/DocumentProblem.ts";
 
-/** A settings file that cannot be used, with everything that is wrong with it. */
+/** A settings file is invalid; the message lists every problem with its line and field. */
 export class SettingsError extends Error {
   constructor(path: string, problems: readonly DocumentProblem[]) {
     const lines = problems.map((p) => `${path}:${p.line}: ${p.field || "(yaml)"}: ${p.message}`);
--- a/src/common/settings/loadSettings.ts
+++ b/src/common/settings/loadSettings.ts
@@ -4,7 +4,7 @@
 import { SettingsError } from "./SettingsError.ts";
 
 /**
- * Reads and validates a YAML settings file. Throws a {@link SettingsError} that names
+ * Reads and validates a YAML settings file. Throws a {@link SettingsError} that lists
  * every problem with its file, line and field.
  */
 export function loadSettings<T>(path: string, schema: z.ZodType<T>): T {
