--- a/src/common/settings/SidecarSettings.ts
+++ b/src/common/settings/SidecarSettings.ts
@@ -1,66 +1,66 @@
 import { z } from "zod";
 import { HostPort } from "./HostPort.ts";
 
-/** Milliseconds, as a positive whole number. */
+/** A positive integer number of milliseconds. */
 const Millis = z.number().int().positive();
 
-/** How much a service may be sent beside its callers' own requests, over the whole fleet. */
+/** Limit on the extra requests (retries and hedges) that sidecars of the whole fleet may send to one service. */
 const RetryBudget = z.strictObject({
-  /** Extra requests, as a share of the service's requests in a window. */
+  /** Extra requests allowed, as a fraction of the service's requests in a window. */
   ratio: z.number().min(0).max(1).default(0.2),
   windowMs: Millis.default(10_000),
-  /** Extra requests in a window besides. */
+  /** Extra requests allowed in a window in addition to that fraction. */
   slack: z.number().min(0).default(60),
 });
 
-/** Where others reach this sidecar, where that is not where it listens: behind an address translation, or a proxy. */
+/** Addresses at which others reach this sidecar, where they differ from those it listens on: behind NAT or a proxy. */
 const Advertise = z.strictObject({
   peer: HostPort.optional(),
   hop: HostPort.optional(),
 });
 
-/** How a planned stop goes. */
+/** Durations of the phases of a planned stop. */
 const Stop = z.strictObject({
-  /** Callers are served on for this long: whoever sends them here has to notice first. */
+  /** Callers are served for this long after the stop begins, so that whatever routes them here can notice it first. */
   callersMs: z.number().int().min(0).default(0),
-  /** The process ends by then, with what is still in flight. */
+  /** The process ends after this long, even if requests are still in flight. */
   graceMs: Millis.default(10_000),
 });
 
-/** Settings of a sidecar: where it listens and whom it first asks about the fleet. */
+/** Settings of a sidecar: its addresses, the members through which it joins the fleet, and its policies. */
 export const SidecarSettings = z.strictObject({
   role: z.literal("sidecar"),
   id: z.string().min(1),
   zone: z.string().min(1),
-  /** Callers' HTTP. */
+  /** Address for callers' HTTP requests. */
   listen: HostPort,
-  /** Announcements from the local target, /metrics and /status. */
+  /** Address for announcements from local targets, /metrics and /status. */
   admin: HostPort,
-  /** For other members: gRPC, and datagrams at the same port. */
+  /** Address for other members: gRPC, and UDP datagrams on the same port. */
   peer: HostPort,
-  /** For other sidecars: requests for the target beside this one. */
+  /** Address for other sidecars: requests that they forward to local targets. */
   hop: HostPort,
   advertise: Advertise.prefault({}),
-  /** The service beside which callers' requests begin here; targets may be told. */
+  /** Service whose local instance sends its requests through this sidecar; may be passed on to targets. */
   callerService: z.string().default(""),
-  /** Whether targets see this sidecar's name in the `Via` header (RFC 9110, 7.6.3). */
+  /** Whether the `Via` header (RFC 9110, section 7.6.3) of requests to targets contains this sidecar's name. */
   via: z.boolean().default(true),
-  /** Members to join through; the rest of the fleet is learned from them. */
+  /** Members through which it joins; it learns the rest of the fleet from them. */
   seeds: z.array(HostPort).default([]),
-  /** Control replicas; others are learned from the members. */
+  /** Control replicas; further ones are learned from the other members. */
   control: z.array(HostPort).default([]),
-  /** Absent on VMs without a disk. */
+  /** Folder for stored data; omitted on VMs without a disk. */
   dataDir: z.string().optional(),
-  /** JSON-lines file for trace spans; absent to trace nothing. */
+  /** JSON-lines file for trace spans; if omitted, nothing is traced. */
   traceFile: z.string().optional(),
-  /** `naive` is the baseline that ours is measured against; never for real traffic. */
+  /** `naive` is the baseline that `adaptive` is measured against; not for production traffic. */
   policy: z.enum(["adaptive", "naive"]).default("adaptive"),
   gossipIntervalMs: Millis.default(200),
-  /** A target that has not announced itself for this long is taken as gone. */
+  /** A target that has not announced itself for this long is considered gone. */
   announceTimeoutMs: Millis.default(1500),
   retryBudget: RetryBudget.prefault({}),
   stop: Stop.prefault({}),
 });
 
-/** A sidecar's settings. */
+/** Parsed settings of a sidecar. */
 export type SidecarSettings = z.infer<typeof SidecarSettings>;
