--- a/src/common/telemetry/FileTracing.ts
+++ b/src/common/telemetry/FileTracing.ts
@@ -14,10 +14,10 @@
 import { JsonLinesSpanExporter } from "./JsonLinesSpanExporter.ts";
 import type { HopSpan, Tracing } from "./Tracing.ts";
 
-/** Trace context crosses hops in the W3C `traceparent` header. */
+/** Propagates the trace context between hops in the W3C `traceparent` header. */
 const propagator = new W3CTraceContextPropagator();
 
-/** OpenTelemetry spans, written to a file as JSON lines. */
+/** Writes OpenTelemetry spans to a file as JSON lines. */
 export class FileTracing implements Tracing {
   readonly #tracer: Tracer;
 
@@ -39,9 +39,9 @@
     return {
       headers,
       child: (childName) => this.#start(childName, SpanKind.CLIENT, ctx),
-      end: (verdict, isGood) => {
+      end: (verdict, isSuccess) => {
         span.setAttribute("burdockpass.verdict", verdict);
-        span.setStatus({ code: isGood ? SpanStatusCode.OK : SpanStatusCode.ERROR });
+        span.setStatus({ code: isSuccess ? SpanStatusCode.OK : SpanStatusCode.ERROR });
         span.end();
       },
     };
--- a/src/common/telemetry/JsonLinesSpanExporter.ts
+++ b/src/common/telemetry/JsonLinesSpanExporter.ts
@@ -3,8 +3,9 @@
 import type { ReadableSpan, SpanExporter } from "@opentelemetry/sdk-trace-base";
 
 /**
- * Writes finished spans as JSON lines to a file, so traces need no outside
- * collector. One line a span: trace and span ids, parent, name, times (µs).
+ * Writes finished spans to a file as JSON lines, so that tracing needs no external
+ * collector. Each span is one line: trace and span ids, parent, name, times (µs),
+ * attributes and status.
  */
 export class JsonLinesSpanExporter implements SpanExporter {
   readonly #path: string;
@@ -20,7 +21,7 @@
   }
 
   async shutdown(): Promise<void> {
-    // Nothing buffered: every export is written before it returns.
+    // Nothing is buffered: every export is written before it returns.
   }
 }
 
--- a/src/common/telemetry/Tracing.ts
+++ b/src/common/telemetry/Tracing.ts
@@ -1,17 +1,17 @@
 import type { IncomingHttpHeaders } from "node:http";
 
-/** One hop of a request, while it lasts. */
+/** Trace span of one hop of a request, while the hop lasts. */
 export interface HopSpan {
-  /** Headers that carry the trace on to the next hop; none where nothing is traced. */
+  /** Headers that propagate the trace context to the next hop; empty when tracing is off. */
   readonly headers: Readonly<Record<string, string>>;
-  /** Starts a hop within this one. */
+  /** Starts a child span within this one. */
   child(name: string): HopSpan;
-  /** Ends the hop with the verdict that it led to; `isGood` when that is an answer. */
-  end(verdict: string, isGood: boolean): void;
+  /** Ends the span with the request's verdict; `isSuccess` when a response was received. */
+  end(verdict: string, isSuccess: boolean): void;
 }
 
-/** Traces with a span for each hop of a request. */
+/** Records a trace span for each hop of a request. */
 export interface Tracing {
-  /** Starts the hop of a request that came with `headers`. */
+  /** Starts the span of a request that was received with `headers`. */
   begin(name: string, headers: IncomingHttpHeaders): HopSpan;
 }
--- a/src/common/telemetry/noTracing.ts
+++ b/src/common/telemetry/noTracing.ts
@@ -6,5 +6,5 @@
   end: () => undefined,
 };
 
-/** Traces nothing; a caller's own trace context passes through untouched. */
+/** Records nothing; the caller's trace context is forwarded unchanged. */
 export const noTracing: Tracing = { begin: () => NO_SPAN };
--- a/src/common/telemetry/openTracing.ts
+++ b/src/common/telemetry/openTracing.ts
@@ -2,8 +2,9 @@
 import { noTracing } from "./noTracing.ts";
 
 /**
- * Traces to `file` as JSON lines; nothing when there is none. The tracing library is
- * loaded only when it is used: it would cost every start some 40 ms of processor time.
+ * Creates a {@link Tracing} that writes spans to `file` as JSON lines, or records
+ * nothing if `file` is undefined. The tracing library is loaded only when it is used:
+ * loading it takes about 40 ms of processor time at each start.
  */
 export async function openTracing(name: string, file: string | undefined): Promise<Tracing> {
   if (!file) {
