--- a/src/common/telemetry/LogOutlet.ts
+++ b/src/common/telemetry/LogOutlet.ts
@@ -1,7 +1,7 @@
-/** Where log lines leave the process. */
+/** Destination of the process's log output. */
 export interface LogOutlet {
-  /** Writes without blocking; `done` hears how many bytes were taken. Bytes that a broken outlet cannot take count as taken. */
-  write(chunk: Buffer, done: (taken: number) => void): void;
-  /** Writes at once what can be written at once: the process is ending. */
+  /** Writes without blocking and calls `done` with the number of bytes written. Bytes that can never be written, because the outlet is broken, count as written. */
+  write(chunk: Buffer, done: (written: number) => void): void;
+  /** Synchronously writes as much as possible without waiting; used when the process is ending. */
   writeNow(chunk: Buffer): void;
 }
--- a/src/common/telemetry/createLogger.ts
+++ b/src/common/telemetry/createLogger.ts
@@ -4,8 +4,8 @@
 import { openStdout } from "./openStdout.ts";
 
 /**
- * The process's bunyan logger: JSON lines on stdout, bounded and never blocking (see
- * {@link LogStream}); level from BURDOCKPASS_LOG (default info).
+ * Creates the process's bunyan logger. It writes JSON lines to stdout, rate-limited and
+ * without blocking (see {@link LogStream}); BURDOCKPASS_LOG sets the level (default: info).
  */
 export function createLogger(name: string, fields: Record<string, string> = {}): bunyan {
   const level = (process.env.BURDOCKPASS_LOG ?? "info") as bunyan.LogLevel;
--- a/src/common/telemetry/openStdout.ts
+++ b/src/common/telemetry/openStdout.ts
@@ -4,14 +4,14 @@
 const STDOUT = 1;
 
 /**
- * The process's standard output, written without ever waiting for its reader. Node's
- * own stream blocks the loop on a full pipe. A pipe is opened again as non-blocking,
- * which changes nothing for those who share it; anything else, such as a file, is
- * written by a worker thread.
+ * Opens the process's standard output for writes that never wait for the reader;
+ * Node's own stream blocks the event loop when a pipe is full. A pipe is reopened as
+ * non-blocking, which does not affect other processes that share it. Anything else,
+ * such as a file, is written asynchronously by a worker thread.
  */
 export function openStdout(): LogOutlet {
   const pipe = reopenPipe();
-  return pipe === undefined ? workerOutlet() : pipeOutlet(pipe);
+  return pipe === undefined ? createWorkerOutlet() : createPipeOutlet(pipe);
 }
 
 function reopenPipe(): number | undefined {
@@ -20,16 +20,16 @@
       ? openSync("/proc/self/fd/1", constants.O_WRONLY | constants.O_NONBLOCK)
       : undefined;
   } catch {
-    return undefined; // No /proc here: a worker thread does as well, for a little more.
+    return undefined; // No /proc on this system: a worker thread works too, at slightly higher cost.
   }
 }
 
-function pipeOutlet(fd: number): LogOutlet {
+function createPipeOutlet(fd: number): LogOutlet {
   const tryWrite = (chunk: Buffer): number => {
     try {
       return writeSync(fd, chunk);
     } catch (err) {
-      return isFull(err) ? 0 : chunk.length;
+      return isPipeFull(err) ? 0 : chunk.length;
     }
   };
   return {
@@ -40,23 +40,23 @@
   };
 }
 
-function workerOutlet(): LogOutlet {
+function createWorkerOutlet(): LogOutlet {
   return {
     write: (chunk, done) => {
-      write(STDOUT, chunk, (err, taken) => {
-        done(err && !isFull(err) ? chunk.length : taken);
+      write(STDOUT, chunk, (err, written) => {
+        done(err && !isPipeFull(err) ? chunk.length : written);
       });
     },
     writeNow: (chunk) => {
       try {
         writeSync(STDOUT, chunk);
       } catch {
-        // The reader is gone, and so is the process next.
+        // The reader is gone, and the process is about to end.
       }
     },
   };
 }
 
-function isFull(err: unknown): boolean {
+function isPipeFull(err: unknown): boolean {
   return (err as NodeJS.ErrnoException).code === "EAGAIN";
 }
