--- a/src/common/telemetry/LogStream.test.ts
+++ b/src/common/telemetry/LogStream.test.ts
@@ -6,25 +6,25 @@
 const INFO = 30;
 const ERROR = 50;
 
-/** An outlet whose reader takes at most `room` bytes until more is given. */
-class Reader implements LogOutlet {
-  readonly #taken: Buffer[] = [];
-  room: number;
+/** An outlet whose outlet accepts `capacity` bytes in all, until the test raises it. */
+class FakeOutlet implements LogOutlet {
+  readonly #written: Buffer[] = [];
+  capacity: number;
 
-  constructor(room = Infinity) {
-    this.room = room;
+  constructor(capacity = Infinity) {
+    this.capacity = capacity;
   }
 
-  write(chunk: Buffer, done: (taken: number) => void): void {
-    done(this.#take(chunk));
+  write(chunk: Buffer, done: (written: number) => void): void {
+    done(this.#accept(chunk));
   }
 
   writeNow(chunk: Buffer): void {
-    this.#take(chunk);
+    this.#accept(chunk);
   }
 
   get text(): string {
-    return Buffer.concat(this.#taken).toString();
+    return Buffer.concat(this.#written).toString();
   }
 
   get lines(): Record<string, unknown>[] {
@@ -34,94 +34,94 @@
       .map((line) => JSON.parse(line) as Record<string, unknown>);
   }
 
-  #take(chunk: Buffer): number {
-    const taken = chunk.subarray(0, Math.min(this.room, chunk.length));
-    this.#taken.push(taken);
-    this.room -= taken.length;
-    return taken.length;
+  #accept(chunk: Buffer): number {
+    const written = chunk.subarray(0, Math.min(this.capacity, chunk.length));
+    this.#written.push(written);
+    this.capacity -= written.length;
+    return written.length;
   }
 }
 
-function open(room?: number) {
+function open(capacity?: number) {
   const clock = new FakeClock();
-  const reader = new Reader(room);
-  const stream = new LogStream(reader, clock);
+  const outlet = new FakeOutlet(capacity);
+  const stream = new LogStream(outlet, clock);
   const write = (n: number, level = INFO, fields = {}) => {
     for (let i = 0; i < n; i++) {
       stream.write({ level, time: new Date(0), n: i, ...fields });
     }
   };
-  return { clock, reader, stream, write };
+  return { clock, outlet, stream, write };
 }
 
-test("lines come out in order, gathered into one write", async (t) => {
-  const { clock, reader, write } = open();
+test("LogStream: lines are written in order, in one batch", async (t) => {
+  const { clock, outlet, write } = open();
   write(3);
-  t.is(reader.text, "");
+  t.is(outlet.text, "");
   await clock.advance(60);
   t.deepEqual(
-    reader.lines.map((l) => l.n),
+    outlet.lines.map((l) => l.n),
     [0, 1, 2],
   );
 });
 
-test("a reader that takes nothing costs lines, and what was left out is said once it reads again", async (t) => {
-  const { clock, reader, stream, write } = open(0);
+test("LogStream: a blocked reader loses lines, and their number is logged once it reads again", async (t) => {
+  const { clock, outlet, stream, write } = open(0);
   for (let second = 0; second < 20; second++) {
     write(300, INFO, { pad: "x".repeat(200) });
     await clock.advance(1000);
   }
-  t.is(reader.text, "");
-  t.true(stream.leftOut > 4000, `left out ${String(stream.leftOut)}`);
-  reader.room = Infinity;
+  t.is(outlet.text, "");
+  t.true(stream.dropped > 4000, `dropped ${String(stream.dropped)}`);
+  outlet.capacity = Infinity;
   await clock.advance(200);
-  const { lines } = reader;
-  t.true(reader.text.length < 300 * 1024, "what waited was bounded");
-  const notes = lines.filter((l) => l.msg === "log lines left out");
-  const said = notes.reduce((sum, l) => sum + Number(l.lines), 0);
-  t.is(said, stream.leftOut);
-  t.is(lines.length - notes.length + stream.leftOut, 20 * 300);
+  const { lines } = outlet;
+  t.true(outlet.text.length < 300 * 1024, "the buffer is bounded");
+  const reports = lines.filter((l) => l.msg === "log lines left out");
+  const reported = reports.reduce((sum, l) => sum + Number(l.lines), 0);
+  t.is(reported, stream.dropped);
+  t.is(lines.length - reports.length + stream.dropped, 20 * 300);
 });
 
-test("a reader that takes a few bytes at a time gets whole lines in the end", async (t) => {
-  const { clock, reader, write } = open(7);
+test("LogStream: a reader that accepts a few bytes at a time receives complete lines", async (t) => {
+  const { clock, outlet, write } = open(7);
   write(5, INFO, { text: "größer" });
   for (let i = 0; i < 60; i++) {
     await clock.advance(100);
-    reader.room = 7;
+    outlet.capacity = 7;
   }
   t.deepEqual(
-    reader.lines.map((l) => l.text),
+    outlet.lines.map((l) => l.text),
     Array(5).fill("größer"),
   );
 });
 
-test("a storm of lines is cut to the bound, and errors still come through", async (t) => {
-  const { clock, reader, stream, write } = open();
+test("LogStream: a burst of lines is limited, and errors are still written", async (t) => {
+  const { clock, outlet, stream, write } = open();
   for (let i = 0; i < 10; i++) {
     write(1000);
     write(5, ERROR);
     await clock.advance(100);
   }
   await clock.advance(100);
-  const errors = reader.lines.filter((l) => l.level === ERROR);
+  const errors = outlet.lines.filter((l) => l.level === ERROR);
   t.is(errors.length, 50);
-  t.true(stream.leftOut > 9000, `left out ${String(stream.leftOut)}`);
+  t.true(stream.dropped > 9000, `dropped ${String(stream.dropped)}`);
 });
 
-test("what waits is written when the process ends", (t) => {
-  const { reader, stream, write } = open();
+test("LogStream: buffered lines are written when the process ends", (t) => {
+  const { outlet, stream, write } = open();
   write(2);
   stream.flush();
-  t.is(reader.lines.length, 2);
+  t.is(outlet.lines.length, 2);
 });
 
-test("a record that is no JSON leaves the stream working", async (t) => {
-  const { clock, reader, stream, write } = open();
-  const self: Record<string, unknown> = {};
-  self.self = self;
-  stream.write({ level: INFO, time: new Date(0), self });
+test("LogStream: a record that cannot be serialized does not stop later ones", async (t) => {
+  const { clock, outlet, stream, write } = open();
+  const circular: Record<string, unknown> = {};
+  circular.circular = circular;
+  stream.write({ level: INFO, time: new Date(0), circular });
   write(1);
   await clock.advance(60);
-  t.is(reader.lines.length, 2);
+  t.is(outlet.lines.length, 2);
 });
--- a/src/common/telemetry/LogStream.ts
+++ b/src/common/telemetry/LogStream.ts
@@ -2,33 +2,33 @@
 import type { LogOutlet } from "./LogOutlet.ts";
 
 /**
- * Lines a second, at most, and as many again at once after quiet. A sidecar writes two
- * to four a request and takes a few dozen requests a second; past this, as in a storm
- * of refusals, one line more tells nothing new.
+ * Maximum rate of lines, and maximum burst after a quiet period. A sidecar writes two
+ * to four lines for each request and handles a few dozen requests a second. Beyond this
+ * rate, as when very many requests are refused, further lines contain nothing new.
  */
-const LINES_PER_S = 400;
+const MAX_LINES_PER_S = 400;
 
-/** Bytes a second, at most: the lines above at 320 bytes each. */
-const BYTES_PER_S = 128 * 1024;
+/** Maximum rate of bytes, and maximum burst: {@link MAX_LINES_PER_S} lines of about 320 bytes. */
+const MAX_BYTES_PER_S = 128 * 1024;
 
-/** Share of both bounds that is kept for warnings and errors. */
-const URGENT_SHARE = 0.25;
+/** Fraction of the rate limits and of the buffer that is reserved for warnings and errors. */
+const URGENT_RESERVE = 0.25;
 
-/** Bytes that wait for a slow reader; what comes beyond them is left out. */
-const MAX_WAITING_BYTES = 256 * 1024;
+/** Maximum number of bytes buffered for a slow reader; further lines are dropped. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
 
-/** Lines are gathered for this long and written together, ms: a write costs more than a line. */
-const GATHER_MS = 50;
+/** Lines are buffered for this long and written together, ms, because each write is more expensive than a line. */
+const BATCH_MS = 50;
 
-/** Pause before a reader that takes nothing is tried again, ms. */
+/** Delay before the next write when the reader accepted nothing, ms. */
 const RETRY_MS = 100;
 
-/** Levels from bunyan's warning on. */
+/** bunyan's warning level; higher levels are more severe. */
 const WARN = 40;
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY = Buffer.alloc(0);
 
-/** A record as bunyan hands it on. */
+/** A log record as bunyan passes it to a raw stream. */
 export interface LogRecord {
   readonly level: number;
   readonly time: Date;
@@ -36,22 +36,23 @@
 }
 
 /**
- * Log records on their way to the process's output, as JSON lines. A burst of lines,
- * or a reader that is slow or gone, costs lines and never a request: what is over the
- * bound is left out, counted, and said in a line of its own.
+ * Writes log records to the process's output as JSON lines, rate-limited by token
+ * buckets and buffered up to a limit. A burst of lines, or a reader that is slow or
+ * gone, loses log lines but never delays a request: lines beyond the limits are
+ * dropped, counted, and reported in a separate log line.
  */
 export class LogStream {
   readonly #outlet: LogOutlet;
   readonly #clock: Clock;
-  #waiting: string[] = [];
-  /** What the reader did not take of the last chunk. */
-  #rest: Buffer = NOTHING;
-  #waitingBytes = 0;
-  #lines = LINES_PER_S;
-  #bytes = BYTES_PER_S;
+  #buffered: string[] = [];
+  /** The part of the last chunk that the reader has not accepted yet. */
+  #unwritten: Buffer = EMPTY;
+  #bufferedBytes = 0;
+  #lineTokens = MAX_LINES_PER_S;
+  #byteTokens = MAX_BYTES_PER_S;
   #refilledAt: number;
-  #leftOut = 0;
-  #leftOutSince = 0;
+  #dropped = 0;
+  #unreportedDrops = 0;
   #isScheduled = false;
 
   constructor(outlet: LogOutlet, clock: Clock) {
@@ -60,31 +61,31 @@
     this.#refilledAt = clock.now();
   }
 
-  /** Lines left out since the start. */
-  get leftOut(): number {
-    return this.#leftOut;
+  /** Number of lines dropped since the start. */
+  get dropped(): number {
+    return this.#dropped;
   }
 
-  /** Takes one record; called by bunyan. */
+  /** Buffers or drops one record; called by bunyan. */
   write(record: LogRecord): void {
     this.#refill();
-    const reserve = record.level >= WARN ? 0 : URGENT_SHARE;
+    const reserved = record.level >= WARN ? 0 : URGENT_RESERVE;
     if (
-      this.#lines < 1 + reserve * LINES_PER_S ||
-      this.#bytes < reserve * BYTES_PER_S ||
-      this.#waitingBytes > MAX_WAITING_BYTES * (1 - reserve)
+      this.#lineTokens < 1 + reserved * MAX_LINES_PER_S ||
+      this.#byteTokens < reserved * MAX_BYTES_PER_S ||
+      this.#bufferedBytes > MAX_BUFFERED_BYTES * (1 - reserved)
     ) {
-      this.#leftOut += 1;
-      this.#leftOutSince += 1;
+      this.#dropped += 1;
+      this.#unreportedDrops += 1;
       return;
     }
     this.#push(toLine(record));
-    this.#schedule(GATHER_MS);
+    this.#schedule(BATCH_MS);
   }
 
-  /** Writes what waits now, as far as the reader takes it. Called when the process ends. */
+  /** Synchronously writes the buffered lines, as far as the reader accepts them. Called when the process ends. */
   flush(): void {
-    this.#outlet.writeNow(this.#gather());
+    this.#outlet.writeNow(this.#takeBuffered());
   }
 
   #schedule(ms: number): void {
@@ -93,54 +94,54 @@
     }
     this.#isScheduled = true;
     this.#clock.after(ms, () => {
-      this.#drain(this.#gather());
+      this.#drain(this.#takeBuffered());
     });
   }
 
-  /** Takes all that waits, as one chunk. */
-  #gather(): Buffer {
-    this.#sayLeftOut();
-    const chunk = Buffer.concat([this.#rest, Buffer.from(this.#waiting.join(""))]);
-    this.#rest = NOTHING;
-    this.#waiting = [];
+  /** Removes everything that is buffered and returns it as one chunk. */
+  #takeBuffered(): Buffer {
+    this.#reportDropped();
+    const chunk = Buffer.concat([this.#unwritten, Buffer.from(this.#buffered.join(""))]);
+    this.#unwritten = EMPTY;
+    this.#buffered = [];
     return chunk;
   }
 
-  /** Hands `chunk` on; whatever the reader does not take now waits for the next try. */
+  /** Writes `chunk`; whatever the reader does not accept is kept for the next write. */
   #drain(chunk: Buffer): void {
-    this.#outlet.write(chunk, (taken) => {
+    this.#outlet.write(chunk, (written) => {
       this.#isScheduled = false;
-      this.#rest = chunk.subarray(taken);
-      this.#waitingBytes -= taken;
-      if (this.#rest.length > 0 || this.#waiting.length > 0) {
-        this.#schedule(taken > 0 ? GATHER_MS : RETRY_MS);
+      this.#unwritten = chunk.subarray(written);
+      this.#bufferedBytes -= written;
+      if (this.#unwritten.length > 0 || this.#buffered.length > 0) {
+        this.#schedule(written > 0 ? BATCH_MS : RETRY_MS);
       }
     });
   }
 
-  #sayLeftOut(): void {
-    if (this.#leftOutSince > 0 && this.#waitingBytes <= MAX_WAITING_BYTES) {
+  #reportDropped(): void {
+    if (this.#unreportedDrops > 0 && this.#bufferedBytes <= MAX_BUFFERED_BYTES) {
       const msg = "log lines left out";
-      const line = { time: new Date(), level: WARN, msg, lines: this.#leftOutSince };
+      const line = { time: new Date(), level: WARN, msg, lines: this.#unreportedDrops };
       this.#push(toLine(line));
-      this.#leftOutSince = 0;
+      this.#unreportedDrops = 0;
     }
   }
 
   #push(line: string): void {
     const bytes = Buffer.byteLength(line);
-    this.#lines -= 1;
-    this.#bytes -= bytes;
-    this.#waiting.push(line);
-    this.#waitingBytes += bytes;
+    this.#lineTokens -= 1;
+    this.#byteTokens -= bytes;
+    this.#buffered.push(line);
+    this.#bufferedBytes += bytes;
   }
 
   #refill(): void {
     const now = this.#clock.now();
     const seconds = (now - this.#refilledAt) / 1000;
     this.#refilledAt = now;
-    this.#lines = Math.min(LINES_PER_S, this.#lines + seconds * LINES_PER_S);
-    this.#bytes = Math.min(BYTES_PER_S, this.#bytes + seconds * BYTES_PER_S);
+    this.#lineTokens = Math.min(MAX_LINES_PER_S, this.#lineTokens + seconds * MAX_LINES_PER_S);
+    this.#byteTokens = Math.min(MAX_BYTES_PER_S, this.#byteTokens + seconds * MAX_BYTES_PER_S);
   }
 }
 
@@ -148,7 +149,7 @@
   try {
     return `${JSON.stringify(record)}\n`;
   } catch (err) {
-    // A field that holds itself: the line is worth less than what it is about.
-    return `${JSON.stringify({ msg: "a log record that is no JSON", reason: String(err) })}\n`;
+    // A circular reference in a field: losing the line is better than failing the code that logs.
+    return `${JSON.stringify({ msg: "log record cannot be serialized as JSON", reason: String(err) })}\n`;
   }
 }
