--- a/src/common/telemetry/LogStream.test.ts
+++ b/src/common/telemetry/LogStream.test.ts
@@ -6,7 +6,7 @@
 const INFO = 30;
 const ERROR = 50;
 
-/** An outlet whose outlet accepts `capacity` bytes in all, until the test raises it. */
+/** An outlet that accepts `capacity` more bytes; tests set it again to let more through. */
 class FakeOutlet implements LogOutlet {
   readonly #written: Buffer[] = [];
   capacity: number;
@@ -77,7 +77,7 @@
   await clock.advance(200);
   const { lines } = outlet;
   t.true(outlet.text.length < 300 * 1024, "the buffer is bounded");
-  const reports = lines.filter((l) => l.msg === "log lines left out");
+  const reports = lines.filter((l) => l.msg === "log lines dropped");
   const reported = reports.reduce((sum, l) => sum + Number(l.lines), 0);
   t.is(reported, stream.dropped);
   t.is(lines.length - reports.length + stream.dropped, 20 * 300);
--- a/src/common/telemetry/LogStream.ts
+++ b/src/common/telemetry/LogStream.ts
@@ -4,7 +4,7 @@
 /**
  * Maximum rate of lines, and maximum burst after a quiet period. A sidecar writes two
  * to four lines for each request and handles a few dozen requests a second. Beyond this
- * rate, as when very many requests are refused, further lines contain nothing new.
+ * rate, for example while very many requests are refused, further lines add nothing new.
  */
 const MAX_LINES_PER_S = 400;
 
@@ -121,7 +121,7 @@
 
   #reportDropped(): void {
     if (this.#unreportedDrops > 0 && this.#bufferedBytes <= MAX_BUFFERED_BYTES) {
-      const msg = "log lines left out";
+      const msg = "log lines dropped";
       const line = { time: new Date(), level: WARN, msg, lines: this.#unreportedDrops };
       this.#push(toLine(line));
       this.#unreportedDrops = 0;
