--- a/src/common/document/checkDocument.ts
+++ b/src/common/document/checkCrossFieldRules.ts
@@ -21,7 +21,7 @@
  * existing services, and the weights of a split have a positive sum. Accepts
  * documents that also have invalid fields, so that an operator sees all problems at once.
  */
-export function checkDocument(doc: UnvalidatedDocument): Violation[] {
+export function checkCrossFieldRules(doc: UnvalidatedDocument): Violation[] {
   const services = toList(doc.services);
   const routes = toList(doc.routes);
   const knownServices = new Set(services.map((s) => s.name));
--- a/src/common/document/validateDocument.ts
+++ b/src/common/document/validateDocument.ts
@@ -1,5 +1,5 @@
 import type { z } from "zod";
-import { checkDocument, type Violation } from "./checkDocument.ts";
+import { checkCrossFieldRules, type Violation } from "./checkCrossFieldRules.ts";
 import { OperatorDocument } from "./OperatorDocument.ts";
 
 /** The result of {@link validateDocument}: the document, or all problems with it. */
@@ -14,7 +14,7 @@
 /** Validates a parsed document from any source: each field against the schema, and the rules across fields. */
 export function validateDocument(raw: unknown): Validated {
   const checked = OperatorDocument.safeParse(raw);
-  const across = typeof raw === "object" && raw !== null ? checkDocument(raw) : [];
+  const across = typeof raw === "object" && raw !== null ? checkCrossFieldRules(raw) : [];
   if (checked.success && across.length === 0) {
     return { ok: true, doc: checked.data };
   }
