--- a/src/common/telemetry/LogStream.test.ts
+++ b/src/common/telemetry/LogStream.test.ts
@@ -1,13 +1,13 @@
 import test from "ava";
 import { FakeClock } from "../../../test/fixtures/FakeClock.ts";
-import type { LogOutlet } from "./LogOutlet.ts";
+import type { LogSink } from "./LogSink.ts";
 import { LogStream } from "./LogStream.ts";
 
 const INFO = 30;
 const ERROR = 50;
 
-/** An outlet that accepts `capacity` more bytes; tests set it again to let more through. */
-class FakeOutlet implements LogOutlet {
+/** A sink that accepts `capacity` more bytes; tests set it again to let more through. */
+class FakeSink implements LogSink {
   readonly #written: Buffer[] = [];
   capacity: number;
 
@@ -44,39 +44,39 @@
 
 function open(capacity?: number) {
   const clock = new FakeClock();
-  const outlet = new FakeOutlet(capacity);
-  const stream = new LogStream(outlet, clock);
+  const sink = new FakeSink(capacity);
+  const stream = new LogStream(sink, clock);
   const write = (n: number, level = INFO, fields = {}) => {
     for (let i = 0; i < n; i++) {
       stream.write({ level, time: new Date(0), n: i, ...fields });
     }
   };
-  return { clock, outlet, stream, write };
+  return { clock, sink, stream, write };
 }
 
 test("LogStream: lines are written in order, in one batch", async (t) => {
-  const { clock, outlet, write } = open();
+  const { clock, sink, write } = open();
   write(3);
-  t.is(outlet.text, "");
+  t.is(sink.text, "");
   await clock.advance(60);
   t.deepEqual(
-    outlet.lines.map((l) => l.n),
+    sink.lines.map((l) => l.n),
     [0, 1, 2],
   );
 });
 
 test("LogStream: a blocked reader loses lines, and their number is logged once it reads again", async (t) => {
-  const { clock, outlet, stream, write } = open(0);
+  const { clock, sink, stream, write } = open(0);
   for (let second = 0; second < 20; second++) {
     write(300, INFO, { pad: "x".repeat(200) });
     await clock.advance(1000);
   }
-  t.is(outlet.text, "");
+  t.is(sink.text, "");
   t.true(stream.dropped > 4000, `dropped ${String(stream.dropped)}`);
-  outlet.capacity = Infinity;
+  sink.capacity = Infinity;
   await clock.advance(200);
-  const { lines } = outlet;
-  t.true(outlet.text.length < 300 * 1024, "the buffer is bounded");
+  const { lines } = sink;
+  t.true(sink.text.length < 300 * 1024, "the buffer is bounded");
   const reports = lines.filter((l) => l.msg === "log lines dropped");
   const reported = reports.reduce((sum, l) => sum + Number(l.lines), 0);
   t.is(reported, stream.dropped);
@@ -84,44 +84,44 @@
 });
 
 test("LogStream: a reader that accepts a few bytes at a time receives complete lines", async (t) => {
-  const { clock, outlet, write } = open(7);
+  const { clock, sink, write } = open(7);
   write(5, INFO, { text: "größer" });
   for (let i = 0; i < 60; i++) {
     await clock.advance(100);
-    outlet.capacity = 7;
+    sink.capacity = 7;
   }
   t.deepEqual(
-    outlet.lines.map((l) => l.text),
+    sink.lines.map((l) => l.text),
     Array(5).fill("größer"),
   );
 });
 
 test("LogStream: a burst of lines is limited, and errors are still written", async (t) => {
-  const { clock, outlet, stream, write } = open();
+  const { clock, sink, stream, write } = open();
   for (let i = 0; i < 10; i++) {
     write(1000);
     write(5, ERROR);
     await clock.advance(100);
   }
   await clock.advance(100);
-  const errors = outlet.lines.filter((l) => l.level === ERROR);
+  const errors = sink.lines.filter((l) => l.level === ERROR);
   t.is(errors.length, 50);
   t.true(stream.dropped > 9000, `dropped ${String(stream.dropped)}`);
 });
 
 test("LogStream: buffered lines are written when the process ends", (t) => {
-  const { outlet, stream, write } = open();
+  const { sink, stream, write } = open();
   write(2);
   stream.flush();
-  t.is(outlet.lines.length, 2);
+  t.is(sink.lines.length, 2);
 });
 
 test("LogStream: a record that cannot be serialized does not stop later ones", async (t) => {
-  const { clock, outlet, stream, write } = open();
+  const { clock, sink, stream, write } = open();
   const circular: Record<string, unknown> = {};
   circular.circular = circular;
   stream.write({ level: INFO, time: new Date(0), circular });
   write(1);
   await clock.advance(60);
-  t.is(outlet.lines.length, 2);
+  t.is(sink.lines.length, 2);
 });
--- a/src/common/telemetry/LogStream.ts
+++ b/src/common/telemetry/LogStream.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../lifecycle/Clock.ts";
-import type { LogOutlet } from "./LogOutlet.ts";
+import type { LogSink } from "./LogSink.ts";
 
 /**
  * Maximum rate of lines, and maximum burst after a quiet period. A sidecar writes two
@@ -42,7 +42,7 @@
  * dropped, counted, and reported in a separate log line.
  */
 export class LogStream {
-  readonly #outlet: LogOutlet;
+  readonly #sink: LogSink;
   readonly #clock: Clock;
   #buffered: string[] = [];
   /** The part of the last chunk that the reader has not accepted yet. */
@@ -55,8 +55,8 @@
   #unreportedDrops = 0;
   #isScheduled = false;
 
-  constructor(outlet: LogOutlet, clock: Clock) {
-    this.#outlet = outlet;
+  constructor(sink: LogSink, clock: Clock) {
+    this.#sink = sink;
     this.#clock = clock;
     this.#refilledAt = clock.now();
   }
@@ -85,7 +85,7 @@
 
   /** Synchronously writes the buffered lines, as far as the reader accepts them. Called when the process ends. */
   flush(): void {
-    this.#outlet.writeNow(this.#takeBuffered());
+    this.#sink.writeNow(this.#takeBuffered());
   }
 
   #schedule(ms: number): void {
@@ -109,7 +109,7 @@
 
   /** Writes `chunk`; whatever the reader does not accept is kept for the next write. */
   #drain(chunk: Buffer): void {
-    this.#outlet.write(chunk, (written) => {
+    this.#sink.write(chunk, (written) => {
       this.#isScheduled = false;
       this.#unwritten = chunk.subarray(written);
       this.#bufferedBytes -= written;
--- a/src/common/telemetry/openStdout.ts
+++ b/src/common/telemetry/openStdout.ts
@@ -1,5 +1,5 @@
 import { constants, fstatSync, openSync, write, writeSync } from "node:fs";
-import type { LogOutlet } from "./LogOutlet.ts";
+import type { LogSink } from "./LogSink.ts";
 
 const STDOUT = 1;
 
@@ -9,9 +9,9 @@
  * non-blocking, which does not affect other processes that share it. Anything else,
  * such as a file, is written asynchronously by a worker thread.
  */
-export function openStdout(): LogOutlet {
+export function openStdout(): LogSink {
   const pipe = reopenPipe();
-  return pipe === undefined ? createWorkerOutlet() : createPipeOutlet(pipe);
+  return pipe === undefined ? createWorkerSink() : createPipeSink(pipe);
 }
 
 function reopenPipe(): number | undefined {
@@ -24,7 +24,7 @@
   }
 }
 
-function createPipeOutlet(fd: number): LogOutlet {
+function createPipeSink(fd: number): LogSink {
   const tryWrite = (chunk: Buffer): number => {
     try {
       return writeSync(fd, chunk);
@@ -40,7 +40,7 @@
   };
 }
 
-function createWorkerOutlet(): LogOutlet {
+function createWorkerSink(): LogSink {
   return {
     write: (chunk, done) => {
       write(STDOUT, chunk, (err, written) => {
