--- a/src/common/rpc/RenewedClient.ts
+++ b/src/common/rpc/RenewedClient.ts
@@ -3,7 +3,7 @@
 import { CHANNEL_OPTIONS } from "./CHANNEL_OPTIONS.ts";
 
 /** Consecutive failed calls after which the connection is considered dead. */
-const FAILURES_TO_RENEW = 2;
+const FAILURES_BEFORE_RECONNECT = 2;
 
 /** When a client closes or replaces its connection. */
 interface RenewedClientOptions {
@@ -28,14 +28,14 @@
   readonly #maxFailures: number;
   #client: T | undefined;
   #failures = 0;
-  #failuresToRenew = FAILURES_TO_RENEW;
+  #failuresBeforeReconnect = FAILURES_BEFORE_RECONNECT;
   #callsInFlight = 0;
   #idleTimer: NodeJS.Timeout | undefined;
 
   constructor(
     ctor: grpc.ServiceClientConstructor,
     address: string,
-    { idleMs = Infinity, mostFailures = FAILURES_TO_RENEW }: RenewedClientOptions = {},
+    { idleMs = Infinity, mostFailures = FAILURES_BEFORE_RECONNECT }: RenewedClientOptions = {},
   ) {
     this.#idleMs = idleMs;
     this.#maxFailures = mostFailures;
@@ -61,13 +61,16 @@
     try {
       const res = await act(client);
       this.#failures = 0;
-      this.#failuresToRenew = FAILURES_TO_RENEW;
+      this.#failuresBeforeReconnect = FAILURES_BEFORE_RECONNECT;
       return res;
     } catch (err) {
       this.#failures += 1;
-      if (this.#failures >= this.#failuresToRenew && this.#client === client) {
-        this.#failuresToRenew = Math.min(this.#maxFailures, this.#failuresToRenew * 2);
-        this.renew();
+      if (this.#failures >= this.#failuresBeforeReconnect && this.#client === client) {
+        this.#failuresBeforeReconnect = Math.min(
+          this.#maxFailures,
+          this.#failuresBeforeReconnect * 2,
+        );
+        this.reconnect();
       }
       throw err;
     } finally {
@@ -86,7 +89,7 @@
   }
 
   /** Closes the client, so that the next call opens a new connection. Calls in flight on the old one are left to end on their own. */
-  renew(): void {
+  reconnect(): void {
     this.#failures = 0;
     this.#client?.close();
     this.#client = undefined;
