--- a/src/common/document/Service.ts
+++ b/src/common/document/Service.ts
@@ -22,7 +22,7 @@
 const Detection = z.strictObject({
   /** Evidence needed to eject a target, nats: lower detects gray targets sooner, higher ejects fewer healthy ones. */
   threshold: z.number().min(3).max(50).default(8),
-  /** A response is late when its latency exceeds this many times the median of the service's other targets... */
+  /** A response is late when its latency exceeds this many times the median over the service's targets... */
   slowFactor: z.number().min(1.5).max(20).default(3),
   /** ...and exceeds that median by at least this much. */
   slowMinMs: Millis.default(50),
