--- a/src/common/rpc/RenewedClient.ts
+++ b/src/common/rpc/RenewedClient.ts
@@ -53,13 +53,13 @@
     return this.#client;
   }
 
-  /** Runs one call on the client, and counts its success or failure. */
-  async call<Res>(act: (client: T) => Promise<Res>): Promise<Res> {
+  /** Makes one call on the client, and counts its success or failure. */
+  async call<Res>(makeCall: (client: T) => Promise<Res>): Promise<Res> {
     const { client } = this;
     clearTimeout(this.#idleTimer);
     this.#callsInFlight += 1;
     try {
-      const res = await act(client);
+      const res = await makeCall(client);
       this.#failures = 0;
       this.#failuresBeforeReconnect = FAILURES_BEFORE_RECONNECT;
       return res;
