--- a/src/common/storage/RecordFile.ts
+++ b/src/common/storage/RecordFile.ts
@@ -50,7 +50,7 @@
   rewrite(records: readonly T[]): void {
     this.close();
     // After a failure either the old or the new file may be in place. A line appended at
-    // the old file's end would leave a hole in the new one, and a reader would stop there.
+    // the old file's end would leave a hole in the new one, and be lost with all lines after it.
     this.#length = undefined;
     const bytes = Buffer.from(records.map((r) => toLine(r)).join(""));
     try {
@@ -62,8 +62,9 @@
   }
 
   /**
-   * Appends one record and syncs it. When it throws, the record was not stored, and the
-   * next one is written at its place. Throws until a {@link rewrite} has succeeded.
+   * Appends one record and syncs it. When it throws, the record does not count as
+   * stored, and the next one is written in its place. Throws until a {@link rewrite}
+   * has succeeded.
    */
   append(record: T): void {
     if (this.#length === undefined) {
