--- a/src/common/document/checkCrossFieldRules.ts
+++ b/src/common/document/checkCrossFieldRules.ts
@@ -31,7 +31,10 @@
   ];
 }
 
-/** The value as a list of objects. A value that is not a list, or an item that is not an object, counts as empty; the schema reports it. */
+/**
+ * The value as a list of objects. A value that is not a list, or an item that is not an object, counts as empty; the
+ * schema reports it.
+ */
 function toList<T extends object>(value: readonly T[] | undefined): readonly Partial<T>[] {
   const items: readonly unknown[] = Array.isArray(value) ? value : [];
   return items.map((item) => (typeof item === "object" && item !== null ? (item as T) : {}));
