--- a/src/common/rpc/RenewedClient.ts
+++ b/src/common/rpc/RenewedClient.ts
@@ -88,7 +88,10 @@
     }
   }
 
-  /** Closes the client, so that the next call opens a new connection. Calls in flight on the old one are left to end on their own. */
+  /**
+   * Closes the client, so that the next call opens a new connection. Calls in flight on the old connection are left to
+   * end on their own.
+   */
   reconnect(): void {
     this.#failures = 0;
     this.#client?.close();
