--- a/src/common/rpc/loadProto.ts
+++ b/src/common/rpc/loadProto.ts
@@ -29,7 +29,7 @@
   return pkg;
 }
 
-/** Compiled programs have the .proto files in the same directory; when run from source, they are at the repository's root. */
+/** Compiled programs have the .proto files next to them; when run from source, they are at the repository's root. */
 function protoPath(file: string): string {
   const bundled = fileURLToPath(new URL(`./proto/${file}`, import.meta.url));
   return existsSync(bundled)
