--- a/src/common/settings/ControlSettings.ts
+++ b/src/common/settings/ControlSettings.ts
@@ -8,14 +8,14 @@
   zone: z.string().min(1),
   /** Address for other members, sidecars and the CLI: gRPC, and UDP datagrams on the same port. */
   listen: HostPort,
-  /** Address at which operators reach this replica; other replicas direct them to the leader's. Defaults to `listen`. */
+  /** Address at which operators reach this replica; they are redirected to the leader's. Defaults to `listen`. */
   api: HostPort.optional(),
   /** Address of /metrics and /status. */
   admin: HostPort,
   dataDir: z.string().min(1),
   /** The initial control group, including this replica; a replacement replica contacts its members to join. */
   seeds: z.array(HostPort).default([]),
-  /** Number of control VMs that may be lost at the same time; defaults to the number that the initial group tolerates. */
+  /** Number of control VMs that may be lost at once; defaults to the number that the initial group tolerates. */
   tolerate: z.number().int().min(0).optional(),
   /**
    * True only when the whole system starts for the first time. Otherwise an empty
