--- a/src/common/settings/ControlSettings.ts
+++ b/src/common/settings/ControlSettings.ts
@@ -8,7 +8,7 @@
   zone: z.string().min(1),
   /** Address for other members, sidecars and the CLI: gRPC, and UDP datagrams on the same port. */
   listen: HostPort,
-  /** Address at which operators reach this replica; they are redirected to the leader's. Defaults to `listen`. */
+  /** Address at which operators reach this replica; a replica that is not the leader names the leader's. Defaults to `listen`. */
   api: HostPort.optional(),
   /** Address of /metrics and /status. */
   admin: HostPort,
