--- a/src/cli/logs/LogLine.ts
+++ b/src/cli/logs/LogLine.ts
@@ -1,10 +1,10 @@
-/** One line of a process's log, as far as it tells of requests and beliefs. */
+/** A parsed line of a process's log: the properties common to all messages, and the message's own fields. */
 export interface LogLine {
-  /** Id of the process that wrote it. */
+  /** Id of the process that wrote the line. */
   readonly process: string;
-  /** Place in that process's log: lines of one process are in order, times of day need not be. */
+  /** Position in that process's log; orders the lines of one process, which their times of day may not. */
   readonly index: number;
-  /** Time of day on that VM, as written; only for people to read. */
+  /** Time of day on that VM, as written in the log; meant for human readers. */
   readonly time: string;
   readonly msg: string;
   readonly fields: Readonly<Record<string, unknown>>;
--- a/src/cli/logs/parseLog.ts
+++ b/src/cli/logs/parseLog.ts
@@ -8,8 +8,8 @@
 });
 
 /**
- * The lines of a log, of one process or of several mixed; text before the JSON of a
- * line (a collector's own time and host) is passed over, and so is what is no JSON.
+ * Parses a log that holds the lines of one process or of several interleaved. Text before
+ * the JSON of a line (such as a log collector's time and host) and lines without JSON are skipped.
  */
 export function parseLog(text: string): LogLine[] {
   const counts = new Map<string, number>();
@@ -33,6 +33,6 @@
   try {
     return Line.safeParse(JSON.parse(raw.slice(start))).data;
   } catch {
-    return undefined; // Torn by a crash, or another program's line.
+    return undefined; // Truncated by a crash, or written by another program.
   }
 }
