--- a/src/cli/explain/explainRequest.test.ts
+++ b/src/cli/explain/explainRequest.test.ts
@@ -3,7 +3,7 @@
 import { parseLog } from "../logs/parseLog.ts";
 import { renderTimeline } from "./renderTimeline.ts";
 
-/** A line as a process writes it. */
+/** A log line in the format that the processes write. */
 const line = (id: string, msg: string, fields: object = {}) =>
   JSON.stringify({ name: "burdockpassd", id, ...fields, msg, time: "2026-01-01T00:00:00Z" });
 
@@ -17,7 +17,7 @@
   missing: readonly string[];
 }[] = [
   {
-    name: "refused early",
+    name: "request that every target refused",
     log: [
       line("t1", "slot refused", { attempt: "r1", target: "a", reason: "full" }),
       line("t2", "slot refused", { attempt: "r1", target: "b", reason: "full" }),
@@ -29,7 +29,7 @@
     missing: [],
   },
   {
-    name: "may have run",
+    name: "request whose connection to the target was lost while it ran",
     log: [
       line("origin", "slot granted", { attempt: "r1", target: "a" }),
       line("origin", "lost contact with running attempt", {
@@ -41,11 +41,11 @@
       line("t1", "run ended", { attempt: "r1", target: "a", outcome: "ok", ms: 900 }),
     ],
     cause:
-      "may have run at a: no answer in time; the origin lost sight of it: the connection fell silent; beside the target it ended as ok after 900 ms",
+      "may have run at a: no answer in time; the origin lost contact with the run: the connection fell silent; at the target the run ended as ok after 900 ms",
     missing: [],
   },
   {
-    name: "failed by a gray target, twice",
+    name: "request that failed at two gray targets",
     log: [
       line("origin", "slot granted", { attempt: "r1", target: "a" }),
       line("origin", "slot granted", { attempt: "r1", target: "b" }),
@@ -57,13 +57,13 @@
     missing: [],
   },
   {
-    name: "its process was killed before it answered",
+    name: "request whose sidecar was killed before it responded",
     log: [line("origin", "slot granted", { attempt: "r1", target: "a" })],
     cause: "the logs do not hold its answer: its process ended, or its log is not among these",
-    missing: ["the answer to the caller", "the end of its run at a"],
+    missing: ["the answer to the caller", "the end of the run at a"],
   },
   {
-    name: "nobody names it",
+    name: "request that no log line names",
     log: [line("origin", "sidecar started")],
     cause: "no line of these logs names this request",
     missing: ["the answer to the caller"],
@@ -71,14 +71,14 @@
 ];
 
 for (const { name, log, cause, missing } of cases) {
-  test(`explain: ${name}`, (t) => {
+  test(`explain reports the cause and the missing lines of a ${name}`, (t) => {
     const timeline = explainRequest("r1", parseLog(log.join("\n")));
     t.is(timeline.cause, cause);
     t.deepEqual([...timeline.missing], [...missing]);
   });
 }
 
-test("explain: what a process had come to believe before is told, newest last, and nothing of after", (t) => {
+test("explain lists a process's state changes before the request, latest last, and none after it", (t) => {
   const log = [
     line("t1", "target here", { target: "a" }),
     line("t2", "ejected", { target: "z" }),
@@ -93,7 +93,7 @@
   );
 });
 
-test("explain: text before the JSON of a line, torn lines and other programs' lines do no harm", (t) => {
+test("explain ignores text before the JSON of a line, truncated lines and lines of other programs", (t) => {
   const log = [
     `  12.5 host-3 ${answered({ kind: "done", target: "a", status: 200 })}`,
     answered({ kind: "done" }).slice(0, 40),
--- a/src/cli/explain/explainRequest.ts
+++ b/src/cli/explain/explainRequest.ts
@@ -1,8 +1,8 @@
 import type { LogLine } from "../logs/LogLine.ts";
 import type { RequestTimeline } from "./RequestTimeline.ts";
 
-/** Messages that tell of a change in what a process believes. */
-const BELIEFS = new Set([
+/** Log messages that record a change in a process's view of targets, members or configuration. */
+const STATE_CHANGES = new Set([
   "ejected",
   "readmitted",
   "target here",
@@ -17,39 +17,40 @@
   "sidecar started",
 ]);
 
-/** Beliefs shown of each process, at most: the newest before the request. */
-const BELIEFS_SHOWN = 6;
+/** Maximum number of state changes shown per process: the latest ones before the request. */
+const MAX_STATE_CHANGES_SHOWN = 6;
 
-/** Tells what became of the request `attempt`, and why, from the processes' logs alone. */
+/** Reconstructs the outcome of the request `attempt`, and its cause, from the processes' log lines alone. */
 export function explainRequest(attempt: string, lines: readonly LogLine[]): RequestTimeline {
-  const about = lines.filter((l) => l.fields.attempt === attempt);
-  const answered = about.find((l) => l.msg === "request answered");
-  const origin = answered?.process ?? about.find((l) => l.msg === "slot granted")?.process;
+  const requestLines = lines.filter((l) => l.fields.attempt === attempt);
+  const answeredLine = requestLines.find((l) => l.msg === "request answered");
+  const origin =
+    answeredLine?.process ?? requestLines.find((l) => l.msg === "slot granted")?.process;
   const steps = [
-    ...about.filter((l) => l.process === origin),
-    ...about.filter((l) => l.process !== origin),
+    ...requestLines.filter((l) => l.process === origin),
+    ...requestLines.filter((l) => l.process !== origin),
   ];
   return {
     attempt,
-    cause: causeOf(about, answered),
+    cause: causeOf(requestLines, answeredLine),
     steps,
-    beliefs: beliefsBefore(steps, lines),
-    missing: missingOf(about, answered),
+    beliefs: stateChangesBefore(steps, lines),
+    missing: missingOf(requestLines, answeredLine),
   };
 }
 
-function causeOf(about: readonly LogLine[], answered: LogLine | undefined): string {
-  if (about.length === 0) {
+function causeOf(requestLines: readonly LogLine[], answeredLine: LogLine | undefined): string {
+  if (requestLines.length === 0) {
     return "no line of these logs names this request";
   }
-  const verdict = verdictOf(answered);
+  const verdict = verdictOf(answeredLine);
   switch (verdict.kind) {
     case "done":
-      return doneCause(about, verdict);
+      return doneCause(requestLines, verdict);
     case "not-run":
-      return `not run: ${text(verdict.reason)}${refusalsIn(about)}`;
+      return `not run: ${text(verdict.reason)}${refusalsIn(requestLines)}`;
     case "may-have-run":
-      return `may have run at ${text(verdict.target)}: ${text(verdict.reason)}${sightOf(about)}`;
+      return `may have run at ${text(verdict.target)}: ${text(verdict.reason)}${runOutcomeOf(requestLines)}`;
     case "in-progress":
       return "an earlier request with the same idempotency key was still running";
     default:
@@ -57,21 +58,25 @@
   }
 }
 
-function doneCause(about: readonly LogLine[], verdict: Readonly<Record<string, unknown>>): string {
+function doneCause(
+  requestLines: readonly LogLine[],
+  verdict: Readonly<Record<string, unknown>>,
+): string {
   const target = text(verdict.target);
   const status = Number(verdict.status);
   if (status < 500) {
     return `answered by ${target} with ${status}`;
   }
-  const failed = about.filter((l) => l.msg === "run ended" && l.fields.outcome === "failed");
-  const at = [...new Set(failed.map((l) => text(l.fields.target)))];
-  const tries = at.length > 1 ? `; it failed at ${at.join(", then ")}` : "";
-  return `${target} failed it with ${status}${tries}`;
+  const failed = requestLines.filter((l) => l.msg === "run ended" && l.fields.outcome === "failed");
+  const failedTargets = [...new Set(failed.map((l) => text(l.fields.target)))];
+  const attemptsText =
+    failedTargets.length > 1 ? `; it failed at ${failedTargets.join(", then ")}` : "";
+  return `${target} failed it with ${status}${attemptsText}`;
 }
 
-function refusalsIn(about: readonly LogLine[]): string {
+function refusalsIn(requestLines: readonly LogLine[]): string {
   const counts = new Map<string, number>();
-  for (const { fields } of about.filter((l) => l.msg === "slot refused")) {
+  for (const { fields } of requestLines.filter((l) => l.msg === "slot refused")) {
     const reason = text(fields.reason);
     counts.set(reason, (counts.get(reason) ?? 0) + 1);
   }
@@ -79,46 +84,50 @@
   return parts.length > 0 ? ` (targets refused it: ${parts.join(", ")})` : "";
 }
 
-/** What the process beside the target knows of a run whose outcome did not reach its caller. */
-function sightOf(about: readonly LogLine[]): string {
-  const lost = about.find((l) => l.msg === "lost contact with running attempt");
-  const ended = about.filter((l) => l.msg === "run ended").at(-1);
-  const lostPart = lost ? `; the origin lost sight of it: ${text(lost.fields.reason)}` : "";
-  const endPart = ended
-    ? `; beside the target it ended as ${text(ended.fields.outcome)} after ${text(ended.fields.ms)} ms`
+/** Why the origin lost contact with the run, and how the run ended according to the target's sidecar. */
+function runOutcomeOf(requestLines: readonly LogLine[]): string {
+  const contactLostLine = requestLines.find((l) => l.msg === "lost contact with running attempt");
+  const endedLine = requestLines.filter((l) => l.msg === "run ended").at(-1);
+  const contactLostText = contactLostLine
+    ? `; the origin lost contact with the run: ${text(contactLostLine.fields.reason)}`
     : "";
-  return lostPart + endPart;
+  const endedText = endedLine
+    ? `; at the target the run ended as ${text(endedLine.fields.outcome)} after ${text(endedLine.fields.ms)} ms`
+    : "";
+  return contactLostText + endedText;
 }
 
-function beliefsBefore(steps: readonly LogLine[], lines: readonly LogLine[]): LogLine[] {
+function stateChangesBefore(steps: readonly LogLine[], lines: readonly LogLine[]): LogLine[] {
   const firstStep = new Map<string, number>();
   for (const { process, index } of steps) {
     firstStep.set(process, Math.min(index, firstStep.get(process) ?? Infinity));
   }
   return [...firstStep].flatMap(([process, first]) =>
     lines
-      .filter((l) => l.process === process && l.index < first && BELIEFS.has(l.msg))
-      .slice(-BELIEFS_SHOWN),
+      .filter((l) => l.process === process && l.index < first && STATE_CHANGES.has(l.msg))
+      .slice(-MAX_STATE_CHANGES_SHOWN),
   );
 }
 
-function missingOf(about: readonly LogLine[], answered: LogLine | undefined): string[] {
+function missingOf(requestLines: readonly LogLine[], answeredLine: LogLine | undefined): string[] {
   const missing: string[] = [];
-  if (!answered) {
+  if (!answeredLine) {
     missing.push("the answer to the caller");
   }
-  const granted = about.filter((l) => l.msg === "slot granted").map((l) => text(l.fields.target));
-  const ended = new Set(
-    about.filter((l) => l.msg === "run ended").map((l) => text(l.fields.target)),
+  const grantedTargets = requestLines
+    .filter((l) => l.msg === "slot granted")
+    .map((l) => text(l.fields.target));
+  const endedTargets = new Set(
+    requestLines.filter((l) => l.msg === "run ended").map((l) => text(l.fields.target)),
   );
-  for (const target of granted.filter((t) => !ended.has(t))) {
-    missing.push(`the end of its run at ${target}`);
+  for (const target of grantedTargets.filter((t) => !endedTargets.has(t))) {
+    missing.push(`the end of the run at ${target}`);
   }
   return missing;
 }
 
-function verdictOf(answered: LogLine | undefined): Readonly<Record<string, unknown>> {
-  const verdict = answered?.fields.verdict;
+function verdictOf(answeredLine: LogLine | undefined): Readonly<Record<string, unknown>> {
+  const verdict = answeredLine?.fields.verdict;
   return typeof verdict === "object" && verdict !== null
     ? (verdict as Readonly<Record<string, unknown>>)
     : {};
--- a/src/cli/explain/renderTimeline.ts
+++ b/src/cli/explain/renderTimeline.ts
@@ -1,10 +1,10 @@
 import type { LogLine } from "../logs/LogLine.ts";
 import type { RequestTimeline } from "./RequestTimeline.ts";
 
-/** Fields that every line has, or that the line's heading says already. */
-const HEADING = new Set(["name", "role", "hostname", "pid", "level", "v", "attempt"]);
+/** Fields that every line has, or that the output already shows in its heading. */
+const OMITTED_FIELDS = new Set(["name", "role", "hostname", "pid", "level", "v", "attempt"]);
 
-/** A timeline as text for a terminal. */
+/** Formats a timeline as text for a terminal. */
 export function renderTimeline({
   attempt,
   cause,
@@ -14,10 +14,14 @@
 }: RequestTimeline): string {
   const parts = [`request ${attempt}: ${cause}`];
   if (steps.length > 0) {
-    parts.push("", "what was decided:", ...steps.map(renderLine));
+    parts.push("", "log lines of the request:", ...steps.map(renderLine));
   }
   if (beliefs.length > 0) {
-    parts.push("", "what the processes had come to believe before:", ...beliefs.map(renderLine));
+    parts.push(
+      "",
+      "state changes of these processes before the request:",
+      ...beliefs.map(renderLine),
+    );
   }
   if (missing.length > 0) {
     parts.push("", "not found in these logs:", ...missing.map((m) => `  ${m}`));
@@ -26,7 +30,7 @@
 }
 
 function renderLine({ process, time, msg, fields }: LogLine): string {
-  const shown = Object.entries(fields).filter(([key]) => !HEADING.has(key));
-  const said = shown.map(([key, value]) => `${key}=${JSON.stringify(value)}`);
-  return `  ${time}  ${process}  ${msg}  ${said.join(" ")}`;
+  const shown = Object.entries(fields).filter(([key]) => !OMITTED_FIELDS.has(key));
+  const fieldTexts = shown.map(([key, value]) => `${key}=${JSON.stringify(value)}`);
+  return `  ${time}  ${process}  ${msg}  ${fieldTexts.join(" ")}`;
 }
