--- a/src/cli/explain/RequestTimeline.ts
+++ b/src/cli/explain/RequestTimeline.ts
@@ -1,14 +1,14 @@
 import type { LogLine } from "../logs/LogLine.ts";
 
-/** What the logs tell of one request. */
+/** The history of one request as reconstructed from the logs. */
 export interface RequestTimeline {
   readonly attempt: string;
-  /** In one sentence: what the caller was told, and why. */
+  /** One sentence: the outcome that the caller received, and why. */
   readonly cause: string;
-  /** Lines about the request itself: first those of the process that took it, then those beside targets. */
+  /** Log lines of the request: first those of the sidecar that received it, then those of the targets' sidecars. */
   readonly steps: readonly LogLine[];
-  /** What the processes concerned had come to believe shortly before. */
+  /** The latest state changes, such as ejections, of each process in `steps` before its first step there. */
   readonly beliefs: readonly LogLine[];
-  /** What one would expect in the logs and is not there. */
+  /** Expected log entries that were not found. */
   readonly missing: readonly string[];
 }
