--- a/src/cli/account/AccountedRequest.ts
+++ b/src/cli/account/AccountedRequest.ts
@@ -1,19 +1,19 @@
-/** What became of a request, and at which point its credit was lost. */
+/** The outcome of a request, which also says at which stage its credit was lost. */
 export type RequestOutcome =
   | "in time"
-  /** Answered after its objective, most of the time in line for a slot. */
+  /** Answered after its latency objective; more than half of the time was spent queued for a slot. */
   | "late: in line"
-  /** Answered after its objective, most of the time at the target. */
+  /** Answered after its latency objective; more than half of the time was spent at the target. */
   | "late: at the target"
-  /** Answered after its objective, and neither explains it: tries that failed, or the way. */
+  /** Answered after its latency objective for another reason, such as failed attempts or network delay. */
   | "late: otherwise"
-  /** The target's own error, the first after it had answered well. */
+  /** The target responded with an error, its first one after a successful run. */
   | "failed: first"
   | "failed: second in a row"
   | "failed: later in a row"
-  /** The target's own error; it was known to be under suspicion when the slot was granted. */
+  /** The target responded with an error, and was already suspect when the slot was granted. */
   | "failed: known suspect"
-  /** It reached a target, and no whole answer came back. */
+  /** The request reached a target, but no complete response came back. */
   | "in doubt"
   | "refused: no room"
   | "refused: suspects only"
@@ -23,22 +23,22 @@
   | "refused: not reached in time"
   | "refused: stopping"
   | "refused: otherwise"
-  /** The caller left before the answer. */
+  /** The caller disconnected before the response. */
   | "caller left"
-  /** Its process ended before it was answered. */
+  /** The sidecar that received the request ended before it responded. */
   | "process ended";
 
-/** One request of the logs, with what became of it. */
+/** One request found in the logs, with its outcome. */
 export interface AccountedRequest {
   readonly attempt: string;
   readonly route: string;
-  /** The process that took it. */
+  /** Id of the process that received the request. */
   readonly origin: string;
-  /** The target that it went to last; empty when it went to none. */
+  /** Id of the last target that granted a slot; empty when none did. */
   readonly target: string;
-  /** Seconds after the first line of the logs, by times of day. */
+  /** When it was answered, or first granted a slot if it was not: seconds after the logs' earliest time of day. */
   readonly atS: number;
   readonly fate: RequestOutcome;
-  /** Part of its credit that was lost: 0 to 1. */
+  /** Share of the request's credit that was lost, 0 to 1. */
   readonly lost: number;
 }
