--- a/src/cli/account/accountRequests.test.ts
+++ b/src/cli/account/accountRequests.test.ts
@@ -32,49 +32,49 @@
   lost: number;
 }[] = [
   {
-    name: "an answer within its objective",
+    name: "a response within the latency objective",
     log: [granted("r"), ran("r", "ok"), answered("r", OK)],
     fate: "in time",
     lost: 0,
   },
   {
-    name: "an answer late by the line",
+    name: "a response that is late because of the queue",
     log: [granted("r", "a", 120), ran("r", "ok"), answered("r", OK, 150)],
     fate: "late: in line",
     lost: 0.7,
   },
   {
-    name: "an answer late by the target",
+    name: "a response that is late because of the target",
     log: [granted("r", "a", 5), ran("r", "ok", 140), answered("r", OK, 150)],
     fate: "late: at the target",
     lost: 0.7,
   },
   {
-    name: "an answer late by the way",
+    name: "a response that is late for neither reason",
     log: [granted("r", "a", 5), ran("r", "ok", 5), answered("r", OK, 150)],
     fate: "late: otherwise",
     lost: 0.7,
   },
   {
-    name: "the first failure of a target",
+    name: "the first failure of a target after a success",
     log: [ran("q", "failed"), ran("p", "ok"), granted("r"), ran("r", "failed"), answered("r", ERR)],
     fate: "failed: first",
     lost: 1,
   },
   {
-    name: "the second failure in a row",
+    name: "the second consecutive failure of a target",
     log: [ran("q", "failed"), granted("r"), ran("r", "failed"), answered("r", ERR)],
     fate: "failed: second in a row",
     lost: 1,
   },
   {
-    name: "a failure of another target does not count in the row",
+    name: "a failure after one of another target, which does not count",
     log: [ran("q", "failed", 10, "b"), granted("r"), ran("r", "failed"), answered("r", ERR)],
     fate: "failed: first",
     lost: 1,
   },
   {
-    name: "the third failure in a row",
+    name: "the third consecutive failure of a target",
     log: [
       ran("p", "failed"),
       ran("q", "failed"),
@@ -86,49 +86,49 @@
     lost: 1,
   },
   {
-    name: "a failure of a known suspect",
+    name: "a failure of a target known as suspect",
     log: [granted("r", "a", 0, { suspect: true }), ran("r", "failed"), answered("r", ERR)],
     fate: "failed: known suspect",
     lost: 1,
   },
   {
-    name: "no whole answer",
+    name: "no complete response",
     log: [granted("r"), answered("r", { kind: "may-have-run", reason: "no answer in time" })],
     fate: "in doubt",
     lost: 1,
   },
   {
-    name: "refused for want of room",
+    name: "a refusal because the last target was full",
     log: [answered("r", refused("every target refused, the last one as full"))],
     fate: "refused: no room",
     lost: 1,
   },
   {
-    name: "refused since only suspects are left",
+    name: "a refusal because only suspects are left",
     log: [answered("r", refused("every target refused, the last one as suspect"))],
     fate: "refused: suspects only",
     lost: 1,
   },
   {
-    name: "refused without a document",
+    name: "a refusal for lack of a configuration document",
     log: [answered("r", refused("no accepted configuration"))],
     fate: "refused: no document",
     lost: 1,
   },
   {
-    name: "refused for another reason",
-    log: [answered("r", refused("the moon"))],
+    name: "a refusal for an unlisted reason",
+    log: [answered("r", refused("some other reason"))],
     fate: "refused: otherwise",
     lost: 1,
   },
   {
-    name: "the caller left",
+    name: "a caller that disconnected",
     log: [granted("r"), answered("r", refused("the caller has left"))],
     fate: "caller left",
     lost: 0,
   },
   {
-    name: "its process ended before the answer",
+    name: "a receiving process that ended before the response",
     log: [granted("r")],
     fate: "process ended",
     lost: 1,
@@ -136,18 +136,18 @@
 ];
 
 for (const { name, log, fate, lost } of cases) {
-  test(`the account of a request: ${name}`, (t) => {
+  test(`accountRequests classifies ${name}`, (t) => {
     const [first, ...others] = accountRequests(parseLog(log.join("\n")));
     t.like(first, { attempt: "r", fate, lost });
     t.deepEqual(others, []);
   });
 }
 
-test("a request to no route is owed nothing and is not accounted", (t) => {
+test("accountRequests leaves out requests that no route matches", (t) => {
   t.deepEqual(accountRequests(parseLog(answered("r", refused("no route")))), []);
 });
 
-test("the account tells when, where and on which way", (t) => {
+test("accountRequests reports the time, receiving process, target and route of a request", (t) => {
   const log = [
     line("start", {}, 0),
     line("slot granted", { attempt: "r", target: "b", waitedMs: 0 }, 3),
