--- a/src/cli/account/plotAccount.test.ts
+++ b/src/cli/account/plotAccount.test.ts
@@ -12,7 +12,7 @@
   lost,
 });
 
-test("the plot has one area for each fate that cost credit, and its legend", (t) => {
+test("plotAccount draws an area and a legend entry for each outcome that lost credit, and no other", (t) => {
   const svg = plotAccount([
     req("in time", 0, 0),
     req("failed: first", 1, 1),
@@ -25,7 +25,7 @@
   t.false(/NaN|undefined/u.test(svg));
 });
 
-test("the plot of nothing is an empty plot", (t) => {
+test("plotAccount draws a valid empty plot when there are no requests", (t) => {
   const svg = plotAccount([]);
   t.is(svg.match(/<path /gu), null);
   t.false(/NaN|undefined/u.test(svg));
