--- a/src/cli/account/renderAccount.ts
+++ b/src/cli/account/renderAccount.ts
@@ -1,9 +1,9 @@
 import type { AccountedRequest } from "./AccountedRequest.ts";
 
-/** Rows of a table by something, at most. */
-const MOST_ROWS = 12;
+/** Maximum number of rows per table. */
+const MAX_ROWS = 12;
 
-/** Something that requests can be told apart by. */
+/** A property to group requests by. */
 interface Dimension {
   readonly title: string;
   readonly keyOf: (req: AccountedRequest) => string;
@@ -12,19 +12,19 @@
 const DIMENSIONS: readonly Dimension[] = [
   { title: "route", keyOf: ({ route }) => route || "(none)" },
   { title: "target", keyOf: ({ target }) => target || "(none)" },
-  { title: "process that took it", keyOf: ({ origin }) => origin },
+  { title: "receiving process", keyOf: ({ origin }) => origin },
   { title: "seconds", keyOf: ({ atS }) => `${Math.floor(atS / 2) * 2} s` },
 ];
 
-/** The account of losses as text for a terminal: by fate, then by route, target, process and time. */
+/** Formats the lost credit as tables for a terminal: by outcome, then by route, target, process and time. */
 export function renderAccount(requests: readonly AccountedRequest[]): string {
   const total = requests.length;
-  const lost = sumOf(requests);
+  const lost = lostCreditOf(requests);
   const head = `${total} requests, credit of ${lost.toFixed(1)} lost (${percent(lost, total)})`;
-  const fates = tableOf(requests, { title: "what became of it", keyOf: ({ fate }) => fate });
-  const losing = requests.filter((r) => r.lost > 0);
-  const others = DIMENSIONS.map((d) => tableOf(losing, d));
-  return `${[head, fates, ...others].join("\n\n")}\n`;
+  const byOutcome = tableOf(requests, { title: "outcome", keyOf: ({ fate }) => fate });
+  const withLosses = requests.filter((r) => r.lost > 0);
+  const byDimension = DIMENSIONS.map((d) => tableOf(withLosses, d));
+  return `${[head, byOutcome, ...byDimension].join("\n\n")}\n`;
 }
 
 function tableOf(requests: readonly AccountedRequest[], { title, keyOf }: Dimension): string {
@@ -35,9 +35,9 @@
     groups.set(keyOf(req), group);
   }
   const rows = [...groups]
-    .map(([key, group]) => ({ key, count: group.length, lost: sumOf(group) }))
+    .map(([key, group]) => ({ key, count: group.length, lost: lostCreditOf(group) }))
     .sort((a, b) => b.lost - a.lost || b.count - a.count)
-    .slice(0, MOST_ROWS);
+    .slice(0, MAX_ROWS);
   const width = Math.max(title.length, ...rows.map((r) => r.key.length));
   const heading = `${title.padEnd(width)}  requests  credit lost`;
   const lines = rows.map(
@@ -47,7 +47,7 @@
   return [heading, ...lines].join("\n");
 }
 
-function sumOf(requests: readonly AccountedRequest[]): number {
+function lostCreditOf(requests: readonly AccountedRequest[]): number {
   return requests.reduce((sum, r) => sum + r.lost, 0);
 }
 
