--- a/src/cli/account/AccountedRequest.ts
+++ b/src/cli/account/AccountedRequest.ts
@@ -36,7 +36,7 @@
   readonly origin: string;
   /** Id of the last target that granted a slot; empty when none did. */
   readonly target: string;
-  /** When it was answered, or first granted a slot if it was not: seconds after the logs' earliest time of day. */
+  /** When it was answered, or else first granted a slot, in seconds after the earliest time of day in the logs. */
   readonly atS: number;
   readonly fate: RequestOutcome;
   /** Share of the request's credit that was lost, 0 to 1. */
