--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -16,7 +16,7 @@
   process.exit(1);
 }
 
-/** A file's text; ends with the reason when it cannot be read. */
+/** Reads a file as text; exits with an error message when it cannot be read. */
 function readText(file: string): string {
   try {
     return readFileSync(file, "utf8");
@@ -25,7 +25,7 @@
   }
 }
 
-/** Reads and checks a document; ends with every problem, each with its line and field, when it is no good. */
+/** Reads and validates a document; exits with a list of its problems, each with line and field, if it is invalid. */
 function readDocument(file: string): { text: string; doc: OperatorDocument } {
   const text = readText(file);
   const parsed = parseOperatorDocument(text);
@@ -41,7 +41,7 @@
 const validate = defineCommand({
   meta: {
     name: "validate",
-    description: "Check an operators' document; print each problem with its line.",
+    description: "Validate an operators' document; print each problem with its line.",
   },
   args: { file: { type: "positional", required: true, description: "YAML document" } },
   run({ args }) {
@@ -54,7 +54,8 @@
 const apply = defineCommand({
   meta: {
     name: "apply",
-    description: "Send a document to control, if the current version is the expected one.",
+    description:
+      "Send a document to control, which applies it if the current version is the expected one.",
   },
   args: {
     file: { type: "positional", required: true, description: "YAML document" },
@@ -64,7 +65,10 @@
       description: "Control replicas, host:port,host:port",
     },
     expect: { type: "string", description: "Expected current version (default: read it first)" },
-    version: { type: "string", description: "Version it is to have (default: the next)" },
+    version: {
+      type: "string",
+      description: "Version to assign to the document (default: the next)",
+    },
     "request-id": { type: "string", description: "Reuse to resend the same change safely" },
   },
   async run({ args }) {
@@ -84,7 +88,7 @@
   },
 });
 
-/** A process's status; ends with the reason when it gives none. */
+/** Fetches a process's status; exits with an error message when that fails. */
 async function readStatus(admin: string): Promise<unknown> {
   try {
     const res = await fetch(`http://${admin}/status`);
@@ -98,7 +102,7 @@
 const status = defineCommand({
   meta: {
     name: "status",
-    description: "Show a sidecar's targets, their states and its config version.",
+    description: "Show a sidecar's configuration version, and its targets with their states.",
   },
   args: {
     admin: {
@@ -128,7 +132,7 @@
 const explain = defineCommand({
   meta: {
     name: "explain",
-    description: "Tell what became of a request, and why, from the processes' logs.",
+    description: "Explain the outcome of a request from the logs of the processes.",
   },
   args: {
     attempt: { type: "positional", required: true, description: "The request's attempt id" },
@@ -136,7 +140,7 @@
     json: { type: "boolean", default: false, description: "Print JSON" },
   },
   run({ args }) {
-    // The parser hands over every word that is no option, those above among them.
+    // `args._` holds all positional arguments, including the ones declared above.
     const [attempt = "", ...files] = args._;
     const lines = files.flatMap((file) => parseLog(readText(file)));
     const timeline = explainRequest(attempt, lines);
@@ -150,12 +154,13 @@
 const account = defineCommand({
   meta: {
     name: "account",
-    description: "Tell from the processes' logs where requests lost their credit, and why.",
+    description:
+      "Account for the credit that requests lost, and why, from the logs of the processes.",
   },
   args: {
     log: { type: "positional", required: true, description: "Log files, one or more" },
     plot: { type: "string", description: "Write a plot of the losses over time to this SVG file" },
-    json: { type: "boolean", default: false, description: "Print JSON, a request a line" },
+    json: { type: "boolean", default: false, description: "Print JSON, one request per line" },
   },
   run({ args }) {
     const lines = args._.flatMap((file) => parseLog(readText(file)));
@@ -174,7 +179,7 @@
 const main = defineCommand({
   meta: {
     name: "burdockpass",
-    description: "Operate a burdockpass fleet through its one document.",
+    description: "Operate a burdockpass fleet through its configuration document.",
   },
   subCommands: {
     config: defineCommand({ meta: { name: "config" }, subCommands: { validate, apply } }),
