--- a/src/daemon/createRole.ts
+++ b/src/daemon/createRole.ts
@@ -4,29 +4,29 @@
 import { ControlRole } from "../control/ControlRole.ts";
 import { SidecarRole } from "../sidecar/SidecarRole.ts";
 
-/** What a daemon does, from its start to its stop. */
+/** The part that a daemon runs, a sidecar or a control replica, from start to stop. */
 interface Role extends IDisposable {
   start(): Promise<void>;
-  /** Takes on settings that have changed, as far as they can change while it runs. */
+  /** Applies changed settings, except those that can only change at a restart. */
   reload(cfg: DaemonSettings): void;
 }
 
-/** What a daemon does, by its settings. */
+/** Creates the role that the settings name. */
 export function createRole(cfg: DaemonSettings, log: bunyan): Role {
   return cfg.role === "sidecar"
-    ? reloading(new SidecarRole(cfg, log), (role, next) => {
+    ? withReload(new SidecarRole(cfg, log), (role, next) => {
         if (next.role === "sidecar") {
           role.reload(next);
         }
       })
-    : reloading(new ControlRole(cfg, log), (role, next) => {
+    : withReload(new ControlRole(cfg, log), (role, next) => {
         if (next.role === "control") {
           role.reload(next);
         }
       });
 }
 
-function reloading<T extends IDisposable & { start(): Promise<void> }>(
+function withReload<T extends IDisposable & { start(): Promise<void> }>(
   role: T,
   reload: (role: T, next: DaemonSettings) => void,
 ): Role {
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -27,7 +27,7 @@
   },
 });
 
-/** A settings file that cannot be used is the operator's to mend: every problem, and no stack trace. */
+/** Loads the settings; exits with a list of their problems, for the operator to fix, and no stack trace if invalid. */
 function loadOrExit(path: string): DaemonSettings {
   try {
     return loadSettings(path, DaemonSettings);
--- a/src/daemon/stopOnSignals.ts
+++ b/src/daemon/stopOnSignals.ts
@@ -1,13 +1,13 @@
 import type bunyan from "bunyan";
 import type { IDisposable } from "../common/lifecycle/IDisposable.ts";
 
-/** A planned stop that takes longer than this is cut short, ms: a role bounds its own stop below it. */
+/** Time limit for a graceful stop, ms, after which the process exits with 1; roles limit their own stop to less. */
 const STOP_DEADLINE_MS = 15_000;
 
 /**
- * Stops `role` as planned on SIGTERM or SIGINT, and ends the process: 0 when all went
- * well. The handlers stay: without one, a second signal would end the process at once,
- * with whatever is still in flight.
+ * Stops `role` gracefully on SIGTERM or SIGINT, then exits: with 0 if the stop succeeded,
+ * else with 1. The handlers stay installed: without one, a second signal would end the
+ * process at once, along with the requests still in flight.
  */
 export function stopOnSignals(role: IDisposable, log: bunyan): void {
   let isStopping = false;
