--- a/src/daemon/reloadOnChange.ts
+++ b/src/daemon/reloadOnChange.ts
@@ -1,18 +1,18 @@
 import { statSync } from "node:fs";
 import type bunyan from "bunyan";
 
-/** How often the settings file is looked at, ms: it may change without a signal. */
-const LOOK_MS = 2000;
+/** Interval between checks of the settings file, ms: it may change without a signal. */
+const POLL_INTERVAL_MS = 2000;
 
 /**
- * Calls `reload` on SIGHUP and whenever the settings file has changed. Settings that
- * cannot be used are logged, and those in force stay. To be called before anything
- * else takes time: until then, SIGHUP ends the process.
+ * Calls `reload` on SIGHUP and whenever the settings file has changed. If `reload` throws,
+ * such as for invalid settings, the error is logged and the current settings stay in force.
+ * Call this early at startup: until then, SIGHUP ends the process.
  */
 export function reloadOnChange(path: string, log: bunyan, reload: () => void): void {
-  let seen = stampOf(path);
+  let lastVersion = fileVersionOf(path);
   const attempt = (cause: string) => {
-    seen = stampOf(path);
+    lastVersion = fileVersionOf(path);
     try {
       reload();
       log.info({ cause }, "settings reloaded");
@@ -24,18 +24,18 @@
     attempt("SIGHUP");
   });
   setInterval(() => {
-    if (stampOf(path) !== seen) {
+    if (fileVersionOf(path) !== lastVersion) {
       attempt("the file has changed");
     }
-  }, LOOK_MS).unref();
+  }, POLL_INTERVAL_MS).unref();
 }
 
-/** Tells one state of a file from another; empty while there is none. */
-function stampOf(path: string): string {
+/** Identifies one version of a file's content by its metadata; empty while the file does not exist. */
+function fileVersionOf(path: string): string {
   try {
     const { mtimeMs, size, ino } = statSync(path);
     return `${mtimeMs}/${size}/${ino}`;
   } catch {
-    return ""; // In the midst of being replaced; the next look finds it.
+    return ""; // The file is being replaced; the next check finds it.
   }
 }
