--- a/src/cli/account/accountRequests.ts
+++ b/src/cli/account/accountRequests.ts
@@ -39,15 +39,15 @@
       return [];
     }
     const target = textOf(grants.at(-1)?.fields.target);
-    const outcome = outcomeOf(requestLines, streaks.get(`${attempt}@${target}`) ?? 0);
+    const fate = outcomeOf(requestLines, streaks.get(`${attempt}@${target}`) ?? 0);
     return {
       attempt,
       route: textOf(answeredLine?.fields.route),
       origin: line.process,
       target,
       atS: (Date.parse(line.time) - startMs) / 1000,
-      fate: outcome,
-      lost: lostCreditOf(outcome),
+      fate,
+      lost: lostCreditOf(fate),
     };
   });
 }
