--- a/src/standin/FaultMode.ts
+++ b/src/standin/FaultMode.ts
@@ -1,28 +1,28 @@
-/** How a stand-in target misbehaves; switched at run time through `POST /_standin/fault`. */
+/** The fault that a stand-in target simulates; set at run time through `POST /_standin/fault`. */
 export enum FaultMode {
   None = "none",
-  /** Every answer takes ten times as long. */
+  /** Every request takes ten times the usual work time. */
   Slow = "slow",
-  /** A share of answers are wrong: status 200, but another request's answer. */
+  /** A share of the responses have status 200 but hold the response to another request. */
   Wrong = "wrong",
-  /** Alternates between slow and healthy every flap period. */
+  /** Alternates between slow and healthy phases. */
   Flapping = "flapping",
-  /** Accepts requests and never answers, as a connection forgotten by a middlebox. */
+  /** Accepts requests and never responds, like a connection whose state a middlebox has dropped. */
   Silent = "silent",
-  /** A share of answers are errors (status 500). */
+  /** A share of the responses are errors (status 500). */
   Error = "error",
-  /** Most requests are answered with an error at once. */
+  /** Most requests fail immediately with an error: a partial failure. */
   Gray = "gray",
-  /** Half of the requests are refused, unrun, though there is room. */
+  /** Half of the requests are shed without being run, although slots are free. */
   Sheds = "sheds",
-  /** Works well, but its health endpoint says it does not. */
+  /** Serves requests normally, but the health endpoint reports unhealthy. */
   HealthBad = "health-bad",
-  /** Runs requests from one sidecar (see `via`) and never answers them: a one-way partition. */
+  /** Runs requests from one sidecar, selected by the `via` header, but never responds to them: a one-way partition. */
   OneWay = "one-way",
-  /** Runs the request, then resets the connection instead of answering. */
+  /** Runs the request, then resets the connection instead of responding. */
   AnswerLost = "answer-lost",
-  /** Sends half of a body, then resets the connection. */
+  /** Sends half of the response body, then resets the connection. */
   Truncate = "truncate",
-  /** Connections opened before the fault never get an answer; new ones work. */
+  /** Never responds on connections opened before the fault was set; new connections work. */
   SilentOld = "silent-old",
 }
