--- a/src/standin/StandInOptions.ts
+++ b/src/standin/StandInOptions.ts
@@ -1,33 +1,33 @@
-import type { CallOptions } from "./CallOptions.ts";
+import type { NestedCallOptions } from "./NestedCallOptions.ts";
 
-/** How a stand-in target is set up. */
+/** Options of a stand-in target. */
 export interface StandInOptions {
   readonly id: string;
   readonly service: string;
   readonly host: string;
   readonly port: number;
-  /** The sidecar beside it, `host:port` of its admin server; absent to announce nowhere. */
+  /** `host:port` of the local sidecar's admin server; undefined to send no announcements. */
   readonly sidecarAdmin: string | undefined;
-  /** Requests it works on at once; more are shed with 503 and `x-not-run`. */
+  /** Maximum number of concurrent requests; more are shed with 503 and `x-not-run`. */
   readonly slots: number;
   /** Work time of one request when healthy, ms. */
   readonly workMs: number;
-  /** Time after start during which it announces itself `cold`, ms. */
+  /** Time after the start during which the target announces itself as `cold`, ms. */
   readonly coldMs: number;
-  /** Share of answers that are wrong in the `wrong` mode. */
+  /** Share of responses, 0 to 1, that are wrong in the `wrong` mode and errors in the `error` mode. */
   readonly wrongRate: number;
-  /** How far its health endpoint lags behind its real state, ms. */
+  /** Delay with which the health endpoint reports a change of the target's health, ms. */
   readonly healthLagMs: number;
-  /** When true, its health endpoint always says healthy. */
-  readonly healthLies: boolean;
-  /** One-way network time between a sidecar and this target, ms; added before and after the work. */
+  /** Makes the health endpoint report healthy whatever the fault mode, except in the `health-bad` mode. */
+  readonly alwaysReportsHealthy: boolean;
+  /** Simulated one-way network delay between a sidecar and this target, ms; added before and after the work. */
   readonly netMs: number;
-  /** Header echoed from request to answer, so that answers can be told apart. */
+  /** Header copied from the request to the response, so that a response can be matched to its request. */
   readonly echoHeader: string;
-  /** Finishes a request, effect and all, after its caller hung up. */
-  readonly runsOn: boolean;
-  /** A file to write down in what became of each request; undefined for none. */
-  readonly journal: string | undefined;
-  /** The calls that it makes in the midst of its work; undefined for none. */
-  readonly calls: CallOptions | undefined;
+  /** Completes a request, including its effect, after its caller disconnected. */
+  readonly ignoresCancellation: boolean;
+  /** Path of the {@link WorkJournal} file; undefined for none. */
+  readonly journalFile: string | undefined;
+  /** The nested calls that the target makes during its runs; undefined for none. */
+  readonly nestedCalls: NestedCallOptions | undefined;
 }
--- a/src/standin/StandInTarget.ts
+++ b/src/standin/StandInTarget.ts
@@ -1,92 +1,91 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from "node:http";
 import type { AddressInfo, Socket } from "node:net";
 import { FaultMode } from "./FaultMode.ts";
-import { makeCall } from "./makeCall.ts";
+import { makeNestedCall } from "./makeNestedCall.ts";
 import type { StandInOptions } from "./StandInOptions.ts";
 import { WorkJournal } from "./WorkJournal.ts";
 
-/** Interval between announcements to the sidecar, ms: the target's heartbeat. */
+/** Interval between announcements to the sidecar, ms; they also serve as the target's heartbeat. */
 const ANNOUNCE_INTERVAL_MS = 500;
 
-/** Slow mode multiplies work time by this. */
+/** Factor on the work time in the slow mode. */
 const SLOW_FACTOR = 10;
 
-/** Time given to requests in flight at a stop before their sockets are closed, ms. */
+/** Time for requests in flight to finish at a stop before their sockets are closed, ms. */
 const STOP_GRACE_MS = 1000;
 
-/** Time a health check takes, ms (the brief's 25 ms a probe). */
+/** Duration of a health check, ms (the requirements state 25 ms per probe). */
 const HEALTH_CHECK_WORK_MS = 25;
 
-/** Arrivals remembered for the bench. */
+/** Maximum number of arrivals kept for the benchmarks. */
 const MAX_ARRIVALS = 50_000;
 
-/** A cold start asked for at run time: cold for this long, ms... */
-const COLD_MS = 1500;
+/** A cold start triggered at run time: the target announces itself cold for this time, ms... */
+const COLD_START_MS = 1500;
 
-/** ...then, ready but not yet warm, for this long, ms... */
+/** ...then is ready but still warming up for this time, ms... */
 const WARM_UP_MS = 1000;
 
-/** ...at this many times its usual work time. */
+/** ...with its work time multiplied by this factor. */
 const WARM_UP_FACTOR = 2;
 
-/** Half-period of the flapping mode, ms. */
-const FLAP_PERIOD_MS = 2000;
+/** Duration of each slow and each healthy phase in the flapping mode, ms. */
+const FLAP_HALF_PERIOD_MS = 2000;
 
-/** Share of requests that fail in the gray mode, and that are refused in the shedding one: about the users' gray targets'. */
+/** Shares of requests that fail in the gray mode, and are shed in the `sheds` mode: about the users' gray targets' shares. */
 const GRAY_SHARE = 0.85;
 const SHED_SHARE = 0.5;
 
-/** One answer: its body, and the id the request asked to have echoed. */
-interface Answer {
+/** A response's body, and the value of the echoed header. */
+interface SentResponse {
   readonly body: string;
   readonly echo: string | string[] | undefined;
 }
 
 /**
- * A stand-in for a customer's back end, spoken to over HTTP as the real ones
- * are. It has slots and sheds load beyond them, starts cold, drains, honours
- * deadlines (`x-burdockpass-remaining-ms`) and cancellation, has a health
- * endpoint that can lag or lie, and fault modes switched at run time. It
- * counts the effects of non-idempotent requests per idempotency key, so
- * tests can see any request that ran twice.
+ * Simulates a customer's back end, over HTTP like a real one. It has slots and sheds load
+ * beyond them, starts cold, drains, honours deadlines (`x-burdockpass-remaining-ms`) and
+ * cancellation, has a health endpoint that can report late or wrongly, and fault modes that
+ * are set at run time. It counts the effects of non-idempotent requests per idempotency key,
+ * so that tests can detect a request that ran twice.
  */
 export class StandInTarget {
   readonly #opts: StandInOptions;
   readonly #server: Server;
   readonly #effects = new Map<string, number>();
-  readonly #history: { at: number; healthy: boolean }[] = [];
+  readonly #healthHistory: { at: number; healthy: boolean }[] = [];
   readonly #arrivals: { at: number; via: string }[] = [];
-  readonly #openedAt = new WeakMap<Socket, number>();
+  readonly #connectedAt = new WeakMap<Socket, number>();
   #mode = FaultMode.None;
-  #faultAt = 0;
-  #healthLies: boolean;
+  #faultSetAt = 0;
+  #alwaysReportsHealthy: boolean;
   #coldUntil: number;
-  #warmAt = 0;
-  /** The sidecar that {@link FaultMode.OneWay} cuts off. */
-  #cutVia = "";
+  #warmUpUntil = 0;
+  /** Text within the `via` header of the requests that {@link FaultMode.OneWay} leaves without a response. */
+  #partitionedVia = "";
   #inFlight = 0;
   #served = 0;
   #received = 0;
   #lastReceivedAt = 0;
   #drainedAt = 0;
   #draining = false;
-  #announcer: NodeJS.Timeout | undefined;
-  #announcements = 1;
-  /** Calls made so far. */
-  #calls = 0;
-  #lastAnswer: Answer | undefined;
+  #announceTimer: NodeJS.Timeout | undefined;
+  #nextSequence = 1;
+  /** Number of nested calls made so far. */
+  #nestedCallCount = 0;
+  #lastResponse: SentResponse | undefined;
   readonly #journal: WorkJournal;
 
   constructor(opts: StandInOptions) {
     this.#opts = opts;
-    this.#journal = new WorkJournal(opts.journal, { target: opts.id, service: opts.service });
-    this.#healthLies = opts.healthLies;
+    this.#journal = new WorkJournal(opts.journalFile, { target: opts.id, service: opts.service });
+    this.#alwaysReportsHealthy = opts.alwaysReportsHealthy;
     this.#coldUntil = Date.now() + opts.coldMs;
     this.#server = createServer((req, res) => {
       void this.#route(req, res);
     });
     this.#server.on("connection", (socket: Socket) => {
-      this.#openedAt.set(socket, Date.now());
+      this.#connectedAt.set(socket, Date.now());
     });
   }
 
@@ -96,7 +95,7 @@
       this.#server.listen(this.#opts.port, this.#opts.host, resolve),
     );
     this.#announce();
-    this.#announcer = setInterval(() => {
+    this.#announceTimer = setInterval(() => {
       this.#announce();
     }, ANNOUNCE_INTERVAL_MS);
     return (this.#server.address() as AddressInfo).port;
@@ -104,13 +103,13 @@
 
   /** Stops announcing and closes; requests in flight finish first. */
   async stop(): Promise<void> {
-    clearInterval(this.#announcer);
+    clearInterval(this.#announceTimer);
     await new Promise<void>((resolve) => {
       this.#server.close(() => {
         resolve();
       });
       this.#server.closeIdleConnections();
-      // A keep-alive socket busy at close time would hold close() open for good.
+      // A keep-alive socket that is busy when close() is called would keep it from ever completing.
       setTimeout(() => {
         this.#server.closeAllConnections();
       }, STOP_GRACE_MS).unref();
@@ -140,7 +139,7 @@
       slots: this.#opts.slots,
       state: this.#state(),
       healthPath: "/_standin/health",
-      sequence: this.#announcements++,
+      sequence: this.#nextSequence++,
     });
     fetch(`http://${this.#opts.sidecarAdmin}/v1/announce`, {
       method: "POST",
@@ -152,13 +151,13 @@
   async #route(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const url = req.url ?? "/";
     if (url.startsWith("/_standin/")) {
-      await this.#control(url, req, res);
+      await this.#serveControl(url, req, res);
       return;
     }
-    await this.#work(req, res);
+    await this.#serveRequest(req, res);
   }
 
-  async #control(url: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #serveControl(url: string, req: IncomingMessage, res: ServerResponse): Promise<void> {
     res.setHeader("content-type", "application/json");
     if (url === "/_standin/effects") {
       res.end(
@@ -174,7 +173,7 @@
       res.end(JSON.stringify(this.#arrivals));
     } else if (url === "/_standin/health") {
       await sleep(HEALTH_CHECK_WORK_MS);
-      res.statusCode = this.#reportedHealthy() ? 200 : 503;
+      res.statusCode = this.#reportsHealthy() ? 200 : 503;
       res.end(JSON.stringify({ inFlight: this.#inFlight, slots: this.#opts.slots }));
     } else if (url === "/_standin/fault" && req.method === "POST") {
       const body = JSON.parse(await readText(req)) as {
@@ -183,17 +182,17 @@
         lies?: boolean;
       };
       this.#mode = body.mode;
-      this.#faultAt = Date.now();
-      this.#healthLies = body.lies ?? this.#opts.healthLies;
-      this.#cutVia = body.via ?? "";
+      this.#faultSetAt = Date.now();
+      this.#alwaysReportsHealthy = body.lies ?? this.#opts.alwaysReportsHealthy;
+      this.#partitionedVia = body.via ?? "";
       const healthy = body.mode === FaultMode.None || body.mode === FaultMode.OneWay;
-      this.#history.push({ at: Date.now(), healthy });
+      this.#healthHistory.push({ at: Date.now(), healthy });
       res.end(JSON.stringify({ mode: this.#mode }));
     } else if (url === "/_standin/cold-start" && req.method === "POST") {
-      this.#coldUntil = Date.now() + COLD_MS;
-      this.#warmAt = this.#coldUntil + WARM_UP_MS;
+      this.#coldUntil = Date.now() + COLD_START_MS;
+      this.#warmUpUntil = this.#coldUntil + WARM_UP_MS;
       this.#announce();
-      res.end(JSON.stringify({ coldMs: COLD_MS }));
+      res.end(JSON.stringify({ coldMs: COLD_START_MS }));
     } else if (url === "/_standin/drain" && req.method === "POST") {
       this.#draining = true;
       this.#drainedAt = Date.now();
@@ -205,20 +204,20 @@
     }
   }
 
-  /** Health as the endpoint tells it: the state of `healthLagMs` ago, or always fine when it lies. */
-  #reportedHealthy(): boolean {
+  /** Health that the endpoint reports: the state `healthLagMs` ago, or always healthy with `alwaysReportsHealthy`. */
+  #reportsHealthy(): boolean {
     if (this.#mode === FaultMode.HealthBad) {
       return false;
     }
-    if (this.#healthLies) {
+    if (this.#alwaysReportsHealthy) {
       return true;
     }
     const asOf = Date.now() - this.#opts.healthLagMs;
-    const known = this.#history.filter((h) => h.at <= asOf).at(-1);
-    return known?.healthy ?? true;
+    const lastKnown = this.#healthHistory.filter((h) => h.at <= asOf).at(-1);
+    return lastKnown?.healthy ?? true;
   }
 
-  async #work(req: IncomingMessage, res: ServerResponse): Promise<void> {
+  async #serveRequest(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const arrivedAt = performance.now();
     this.#received += 1;
     this.#lastReceivedAt = Date.now();
@@ -228,62 +227,65 @@
       this.#arrivals.shift();
     }
     const tag = String(req.headers["x-caller-tag"] ?? "");
-    this.#journal.note(tag, "arrived");
+    this.#journal.record(tag, "arrived");
     const body = await readText(req);
-    const before = (this.#openedAt.get(req.socket) ?? 0) < this.#faultAt;
-    if (this.#mode === FaultMode.Silent || (this.#mode === FaultMode.SilentOld && before)) {
-      return; // Never answers; the socket stays open until the caller gives up.
+    const connectedBeforeFault = (this.#connectedAt.get(req.socket) ?? 0) < this.#faultSetAt;
+    if (
+      this.#mode === FaultMode.Silent ||
+      (this.#mode === FaultMode.SilentOld && connectedBeforeFault)
+    ) {
+      return; // Never responds; the socket stays open until the caller gives up.
     }
-    const refusal = this.#refusal();
-    if (refusal !== undefined) {
-      this.#journal.note(tag, "shed");
-      shed(res, refusal);
+    const shedReason = this.#shedReason();
+    if (shedReason !== undefined) {
+      this.#journal.record(tag, "shed");
+      shed(res, shedReason);
       return;
     }
     if (this.#mode === FaultMode.Gray && Math.random() < GRAY_SHARE) {
-      this.#journal.note(tag, "ran");
+      this.#journal.record(tag, "ran");
       sendError(res);
       return;
     }
     this.#inFlight += 1;
-    // The caller hung up before the answer: cancellation, so the effect must not
-    // happen, unless this stand-in is one that runs on.
-    const call = { cancelled: false };
+    // A caller that disconnects before the response cancels the request: the effect must
+    // not happen, unless this target ignores cancellation.
+    const run = { cancelled: false };
     res.on("close", () => {
-      call.cancelled = !res.writableFinished && !this.#opts.runsOn;
+      run.cancelled = !res.writableFinished && !this.#opts.ignoresCancellation;
     });
     try {
-      const leftMs = Number(req.headers["x-burdockpass-remaining-ms"] ?? Infinity);
-      const deadlineAt = arrivedAt + leftMs;
-      const workMs = this.#workTime();
-      const ms = Math.min(workMs, leftMs);
-      if (ms > 0) {
+      const remainingMs = Number(req.headers["x-burdockpass-remaining-ms"] ?? Infinity);
+      const deadline = arrivedAt + remainingMs;
+      const workMs = this.#workMs();
+      const sleepMs = Math.min(workMs, remainingMs);
+      if (sleepMs > 0) {
         // setTimeout(0) still costs about 1 ms; a zero work time must add nothing.
-        await sleep(ms);
+        await sleep(sleepMs);
       }
-      // Work cut short by the deadline is not done, also when the timer fires a moment early.
-      if (call.cancelled || workMs > leftMs || performance.now() >= deadlineAt) {
-        // Cancelled or past its deadline before the effect: it did not run, and says so.
+      // Work cut short by the deadline is not complete, even if the timer fires slightly early.
+      if (run.cancelled || workMs > remainingMs || performance.now() >= deadline) {
+        // Cancelled or past its deadline before the effect: reported as not run.
         if (!res.destroyed) {
-          this.#journal.note(tag, "shed");
+          this.#journal.record(tag, "shed");
           shed(res, "deadline passed");
         }
         return;
       }
-      this.#journal.note(tag, "ran");
-      if (!(await this.#callsServed(tag))) {
+      this.#journal.record(tag, "ran");
+      if (!(await this.#makeNestedCallIfNeeded(tag))) {
         sendError(res);
         return;
       }
-      const lost = this.#mode === FaultMode.OneWay && via.includes(this.#cutVia);
-      await this.#answer(req, body, res, lost);
+      const responseLost = this.#mode === FaultMode.OneWay && via.includes(this.#partitionedVia);
+      await this.#respond(req, body, res, responseLost);
     } finally {
       this.#inFlight -= 1;
     }
   }
 
-  /** Why a request is refused, unrun; undefined when it is not. */
-  #refusal(): string | undefined {
+  /** The reason to shed a request without running it; undefined to accept it. */
+  #shedReason(): string | undefined {
     if (this.#draining) {
       return "draining";
     }
@@ -291,28 +293,28 @@
     return sheds || this.#inFlight >= this.#opts.slots ? "no free slot" : undefined;
   }
 
-  /** Makes the call that this request's work needs, if it does; false when it failed. */
-  async #callsServed(tag: string): Promise<boolean> {
-    const { calls } = this.#opts;
-    if (calls === undefined || Math.random() >= calls.share) {
+  /** Makes a nested call for the configured share of runs; resolves with false if it failed. */
+  async #makeNestedCallIfNeeded(tag: string): Promise<boolean> {
+    const { nestedCalls } = this.#opts;
+    if (nestedCalls === undefined || Math.random() >= nestedCalls.share) {
       return true;
     }
-    return makeCall(calls, `${tag}~${this.#calls++}`);
+    return makeNestedCall(nestedCalls, `${tag}~${this.#nestedCallCount++}`);
   }
 
-  /** Runs the request's effect and answers it, unless the answer is `lost` on the way back. */
-  async #answer(
+  /** Applies the request's effect and sends the response, unless `responseLost` simulates its loss on the network. */
+  async #respond(
     req: IncomingMessage,
     body: string,
     res: ServerResponse,
-    lost: boolean,
+    responseLost: boolean,
   ): Promise<void> {
     this.#served += 1;
     const key = req.headers["idempotency-key"];
     if (req.method !== "GET" && req.method !== "HEAD" && typeof key === "string") {
       this.#effects.set(key, (this.#effects.get(key) ?? 0) + 1);
     }
-    if (lost) {
+    if (responseLost) {
       return;
     }
     if (this.#mode === FaultMode.AnswerLost) {
@@ -320,7 +322,7 @@
       return;
     }
     const filler = Number(new URL(req.url ?? "/", "http://standin").searchParams.get("bytes") ?? 0);
-    const answer = JSON.stringify({
+    const responseBody = JSON.stringify({
       target: this.#opts.id,
       service: this.#opts.service,
       path: req.url,
@@ -328,33 +330,37 @@
       bodyBytes: body.length,
       filler: "x".repeat(filler),
     });
-    const mine: Answer = { body: answer, echo: req.headers[this.#opts.echoHeader] };
-    const strikes = Math.random() < this.#opts.wrongRate;
-    const sent = strikes && this.#mode === FaultMode.Wrong ? (this.#lastAnswer ?? mine) : mine;
-    this.#lastAnswer = mine;
+    const ownResponse: SentResponse = {
+      body: responseBody,
+      echo: req.headers[this.#opts.echoHeader],
+    };
+    const faulty = Math.random() < this.#opts.wrongRate;
+    const response =
+      faulty && this.#mode === FaultMode.Wrong ? (this.#lastResponse ?? ownResponse) : ownResponse;
+    this.#lastResponse = ownResponse;
     if (this.#opts.netMs > 0) {
       await sleep(this.#opts.netMs);
     }
-    if (strikes && this.#mode === FaultMode.Error) {
+    if (faulty && this.#mode === FaultMode.Error) {
       res.statusCode = 500;
     }
     res.setHeader("content-type", "application/json");
-    if (sent.echo) {
-      res.setHeader(this.#opts.echoHeader, sent.echo);
+    if (response.echo) {
+      res.setHeader(this.#opts.echoHeader, response.echo);
     }
     if (this.#mode === FaultMode.Truncate) {
-      res.setHeader("content-length", sent.body.length);
-      res.write(sent.body.slice(0, sent.body.length / 2), () => res.destroy());
+      res.setHeader("content-length", response.body.length);
+      res.write(response.body.slice(0, response.body.length / 2), () => res.destroy());
       return;
     }
-    res.end(sent.body);
+    res.end(response.body);
   }
 
-  #workTime(): number {
+  #workMs(): number {
     const flappingSlow =
-      this.#mode === FaultMode.Flapping && Math.floor(Date.now() / FLAP_PERIOD_MS) % 2 === 0;
+      this.#mode === FaultMode.Flapping && Math.floor(Date.now() / FLAP_HALF_PERIOD_MS) % 2 === 0;
     const slow = this.#mode === FaultMode.Slow || flappingSlow;
-    const warming = Date.now() < this.#warmAt;
+    const warming = Date.now() < this.#warmUpUntil;
     return (
       this.#opts.netMs +
       this.#opts.workMs * (slow ? SLOW_FACTOR : 1) * (warming ? WARM_UP_FACTOR : 1)
--- a/src/standin/WorkJournal.ts
+++ b/src/standin/WorkJournal.ts
@@ -1,22 +1,25 @@
 import { appendFileSync } from "node:fs";
 
-/** What a stand-in did with a request. */
+/** A step in a stand-in target's handling of a request. */
 type WorkEvent = "arrived" | "ran" | "shed";
 
-/** A stand-in's own word on every request that reached it, one JSON line each, written before the answer is. */
+/**
+ * Records every request that reached a stand-in target and how the target handled it, from the
+ * target's own view: one JSON line per event, written before the response.
+ */
 export class WorkJournal {
   readonly #file: string | undefined;
-  readonly #about: { readonly target: string; readonly service: string };
+  readonly #targetFields: { readonly target: string; readonly service: string };
 
-  /** @param file where it is written; nowhere when undefined */
-  constructor(file: string | undefined, about: { target: string; service: string }) {
+  /** @param file path of the journal; undefined to write none */
+  constructor(file: string | undefined, targetFields: { target: string; service: string }) {
     this.#file = file;
-    this.#about = about;
+    this.#targetFields = targetFields;
   }
 
-  note(tag: string, event: WorkEvent): void {
+  record(tag: string, event: WorkEvent): void {
     if (this.#file !== undefined) {
-      const line = { at: Date.now(), ...this.#about, tag, event };
+      const line = { at: Date.now(), ...this.#targetFields, tag, event };
       appendFileSync(this.#file, `${JSON.stringify(line)}\n`);
     }
   }
--- a/src/standin/main.ts
+++ b/src/standin/main.ts
@@ -4,7 +4,7 @@
 const main = defineCommand({
   meta: {
     name: "standin-target",
-    description: "A stand-in back end for tests, the demo and the bench.",
+    description: "A stand-in back end for tests, the demo and benchmarks.",
   },
   args: {
     id: { type: "string", required: true },
@@ -20,8 +20,8 @@
     "runs-on": { type: "boolean", default: false },
     "echo-header": { type: "string", default: "x-burdockpass-request" },
     "health-lies": { type: "boolean", default: false },
-    journal: { type: "string", description: "A file for what became of each request" },
-    "call-path": { type: "string", description: "What it calls in the midst of its work" },
+    journal: { type: "string", description: "File that records how each request was handled" },
+    "call-path": { type: "string", description: "Path of the nested calls that its runs make" },
     "call-port": { type: "string", description: "Its sidecar's port for callers" },
     "call-share": { type: "string", default: "1" },
   },
@@ -37,12 +37,12 @@
       coldMs: Number(args["cold-ms"]),
       wrongRate: Number(args["wrong-rate"]),
       healthLagMs: Number(args["health-lag-ms"]),
-      runsOn: args["runs-on"],
+      ignoresCancellation: args["runs-on"],
       netMs: Number(args["net-ms"]),
       echoHeader: args["echo-header"],
-      healthLies: args["health-lies"],
-      journal: args.journal,
-      calls: callsOf(args["call-path"], args["call-port"], args["call-share"]),
+      alwaysReportsHealthy: args["health-lies"],
+      journalFile: args.journal,
+      nestedCalls: nestedCallsOf(args["call-path"], args["call-port"], args["call-share"]),
     });
     const port = await target.start();
     process.stdout.write(JSON.stringify({ msg: "standin ready", id: args.id, port }) + "\n");
@@ -50,7 +50,7 @@
   },
 });
 
-function callsOf(path: string | undefined, port: string | undefined, share: string) {
+function nestedCallsOf(path: string | undefined, port: string | undefined, share: string) {
   return path === undefined ? undefined : { path, port: Number(port), share: Number(share) };
 }
 
