--- a/src/standin/NestedCallOptions.ts
+++ b/src/standin/NestedCallOptions.ts
@@ -3,6 +3,6 @@
   /** The sidecar's port for callers. */
   readonly port: number;
   readonly path: string;
-  /** Share of its runs that make one, 0 to 1; a run whose call fails is answered with an error. */
+  /** Share of its runs that make one; a run whose call fails is answered with an error. */
   readonly share: number;
 }
--- a/src/standin/StandInTarget.ts
+++ b/src/standin/StandInTarget.ts
@@ -32,7 +32,10 @@
 /** Duration of each slow and each healthy phase in the flapping mode, ms. */
 const FLAP_HALF_PERIOD_MS = 2000;
 
-/** Shares of requests that fail in the gray mode, and are shed in the `sheds` mode: about the users' gray targets' shares. */
+/**
+ * Share of requests that fail in the gray mode, and share that are shed in the `sheds` mode:
+ * about what the users' gray targets show.
+ */
 const GRAY_SHARE = 0.85;
 const SHED_SHARE = 0.5;
 
