--- a/src/standin/CallOptions.ts
+++ b/src/standin/NestedCallOptions.ts
@@ -1,5 +1,5 @@
-/** The calls that a stand-in makes through its sidecar in the midst of its work. */
-export interface CallOptions {
+/** The nested calls that a stand-in target makes through its sidecar during its runs. */
+export interface NestedCallOptions {
   /** The sidecar's port for callers. */
   readonly port: number;
   readonly path: string;
