--- a/src/sidecar/detection/AlwaysHealthyDetector.ts
+++ b/src/sidecar/detection/AlwaysHealthyDetector.ts
@@ -1,6 +1,6 @@
 import type { HealthDetector } from "./HealthDetector.ts";
 
-/** Thinks well of every target: part of the baseline that ours is measured against, never for real traffic. */
+/** Reports every target as healthy. Part of the baseline for comparisons with other policies; not for production traffic. */
 export const AlwaysHealthyDetector: HealthDetector = {
   risk: 0,
   pace: 1,
