--- a/src/sidecar/detection/AttemptOutcome.ts
+++ b/src/sidecar/detection/AttemptOutcome.ts
@@ -1,19 +1,19 @@
-/** How one attempt at a target ended, as evidence about that target. */
+/** How one attempt at a target ended, as evidence about the health of that target. */
 export enum AttemptOutcome {
-  /** A whole, correct answer below 500. */
+  /** A complete, valid response with a status below 500. */
   Ok = "ok",
-  /** A whole answer that says the target failed: 5xx. */
+  /** A complete response with a 5xx status. */
   Failed = "failed",
-  /** An answer cut short, in no known form, or another request's. */
+  /** A response that was truncated, malformed, or meant for another request. */
   Wrong = "wrong",
-  /** No answer at all: the connection was reset or refused. */
+  /** No response: the connection was reset or refused. */
   NoAnswer = "no-answer",
-  /** No answer by the time that its caller or its route gave it, which may have been short. */
+  /** No response before the deadline set by the caller or the route, which may have been too short for the work. */
   TimedOut = "timed-out",
-  /** The target failed it after a call that it made in the midst of it was not served. Says nothing about its health. */
+  /** The target failed it because a nested call was not served. No evidence about the target's health. */
   CallLost = "call-lost",
-  /** The target refused it for want of room, unrun. Says nothing about its health. */
+  /** The target had no capacity and rejected it without running it. No evidence about the target's health. */
   Shed = "shed",
-  /** The caller left first. Says nothing about the target. */
+  /** The caller disconnected first. No evidence about the target. */
   Cancelled = "cancelled",
 }
