--- a/src/sidecar/detection/DecayingScore.ts
+++ b/src/sidecar/detection/DecayingScore.ts
@@ -1,9 +1,9 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 
 /**
- * A one-sided CUSUM (Page, "Continuous Inspection Schemes", 1954) that fades: the
- * log-likelihood ratio of "this target is gray" against "it is healthy", never below
- * zero, and halved with time, since without requests there is no news.
+ * A one-sided CUSUM (Page, "Continuous Inspection Schemes", 1954) with exponential decay:
+ * the log-likelihood ratio of "this target is gray" against "it is healthy", never below
+ * zero. It halves every half-life, since old evidence says little about the present state.
  */
 export class DecayingScore {
   readonly #clock: Clock;
@@ -16,14 +16,14 @@
     this.#halfLifeMs = halfLifeMs;
   }
 
-  /** The evidence now, nats. */
+  /** The decayed score at the current time, nats. */
   get value(): number {
     return this.#nats * 0.5 ** ((this.#clock.now() - this.#at) / this.#halfLifeMs());
   }
 
-  /** Adds one observation, up to `most`. */
-  add(nats: number, most: number): void {
-    this.#nats = Math.min(most, Math.max(0, this.value + nats));
+  /** Adds one observation, nats, and limits the score to at most `max`. */
+  add(nats: number, max: number): void {
+    this.#nats = Math.min(max, Math.max(0, this.value + nats));
     this.#at = this.#clock.now();
   }
 }
