--- a/src/sidecar/detection/DetectionRule.ts
+++ b/src/sidecar/detection/DetectionRule.ts
@@ -1,4 +1,4 @@
 import type { Service } from "../../common/document/Service.ts";
 
-/** How gray targets of a service are found and for how long they stay out; from the document. */
+/** A service's settings for detecting and ejecting gray targets, from the configuration document. */
 export type DetectionRule = Service["detection"];
