--- a/src/sidecar/detection/GrayStateFilter.ts
+++ b/src/sidecar/detection/GrayStateFilter.ts
@@ -1,54 +1,54 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 
 /**
- * How long targets are sound between two gray spells, and how long a spell lasts, on average, ms.
- * From the logs of one quiet day of 13 targets: 12 spells began in 430 s, and a quarter of the time
- * was gray. Only how soon an old answer stops telling anything depends on them.
+ * Mean duration of a healthy period and of a gray period, ms. From the logs of one quiet day of
+ * 13 targets: 12 gray periods began in 430 s, and a quarter of the time was gray. They only
+ * determine how fast old evidence loses its weight.
  */
-const SOUND_MS = 21_000;
-const SPELL_MS = 9000;
+const MEAN_HEALTHY_MS = 21_000;
+const MEAN_GRAY_MS = 9000;
 
-/** Share of the time that a target is gray, where nothing is known of it. */
-const USUAL = SPELL_MS / (SOUND_MS + SPELL_MS);
+/** Prior probability that a target is gray, without any evidence about it. */
+const PRIOR_CHANCE = MEAN_GRAY_MS / (MEAN_HEALTHY_MS + MEAN_GRAY_MS);
 
-/** Time in which what is known of a target loses most of its worth, ms. */
-const FORGET_MS = 1 / (1 / SOUND_MS + 1 / SPELL_MS);
+/** Time constant with which the estimate returns to the prior, ms. */
+const RELAXATION_MS = 1 / (1 / MEAN_HEALTHY_MS + 1 / MEAN_GRAY_MS);
 
-/** The chance stays this far from certainty, so that a few answers can always turn it. */
-const LEAST = 0.002;
+/** The estimate stays this far from 0 and 1, so that a few observations can always change it. */
+const MIN_CHANCE = 0.002;
 
 /**
- * The chance that a target is in a gray spell: a hidden Markov model of two states,
- * sound and gray, filtered by what its answers say (Rabiner, "A Tutorial on Hidden
- * Markov Models", 1989). Between answers the chance drifts to the usual one: a target
- * that answered well two seconds ago may have turned since.
+ * Estimates the probability that a target is gray: a hidden Markov model of two states,
+ * healthy and gray, filtered by the outcomes of its requests (Rabiner, "A Tutorial on
+ * Hidden Markov Models", 1989). Between observations the estimate returns to the prior,
+ * since a target that responded correctly two seconds ago may have become gray since.
  */
 export class GrayStateFilter {
   readonly #clock: Clock;
-  #chance = LEAST;
-  #at: number;
+  #chance = MIN_CHANCE;
+  #updatedAt: number;
 
   constructor(clock: Clock) {
     this.#clock = clock;
-    this.#at = clock.now();
+    this.#updatedAt = clock.now();
   }
 
-  /** The chance now, above 0 and below 1. */
+  /** The probability at the current time, above 0 and below 1. */
   get value(): number {
-    const kept = Math.exp((this.#at - this.#clock.now()) / FORGET_MS);
-    return USUAL + (this.#chance - USUAL) * kept;
+    const retained = Math.exp((this.#updatedAt - this.#clock.now()) / RELAXATION_MS);
+    return PRIOR_CHANCE + (this.#chance - PRIOR_CHANCE) * retained;
   }
 
-  /** Log-odds of the chance, nats. */
+  /** Log-odds of the probability, nats. */
   get nats(): number {
     const chance = this.value;
     return Math.log(chance / (1 - chance));
   }
 
-  /** Takes one observation in: its log-likelihood ratio of gray against sound, nats. */
+  /** Adds one observation as its log-likelihood ratio of gray against healthy, nats. */
   add(nats: number): void {
     const odds = Math.exp(this.nats + nats);
-    this.#chance = Math.min(1 - LEAST, Math.max(LEAST, odds / (1 + odds)));
-    this.#at = this.#clock.now();
+    this.#chance = Math.min(1 - MIN_CHANCE, Math.max(MIN_CHANCE, odds / (1 + odds)));
+    this.#updatedAt = this.#clock.now();
   }
 }
