--- a/src/sidecar/detection/Judgement.ts
+++ b/src/sidecar/detection/Judgement.ts
@@ -1,7 +1,7 @@
-/** What the evidence about one target says in all. */
+/** The health assessment of one target, from all evidence about it. */
 export interface Judgement {
-  /** Should leave rotation. */
+  /** Should be removed from rotation. */
   readonly gray: boolean;
-  /** How bad, as its chance to fail a request; the floor keeps the least bad. */
+  /** Probability that it fails a request. The targets with the lowest values stay in rotation when a minimum must remain. */
   readonly badness: number;
 }
