--- a/src/sidecar/detection/LatencyBaseline.ts
+++ b/src/sidecar/detection/LatencyBaseline.ts
@@ -1,16 +1,16 @@
-/** How many of the latest latencies the median is taken over. */
+/** Number of most recent samples that the median is computed over. */
 const WINDOW = 128;
 
-/** Fewer samples than this give no baseline: a median of three proves little. */
+/** There is no baseline below this number of samples, since a median of three varies too much. */
 const MIN_SAMPLES = 16;
 
-/** The median is sorted out afresh once in this many samples. */
+/** The median is recomputed once every this many samples. */
 const REFRESH_EVERY = 8;
 
 /**
- * The usual latency of one kind of request at one service, over all its
- * targets: a rolling median, which stays put until half the samples are slow,
- * so one gray target cannot drag its own yardstick along.
+ * The typical latency of one kind of request at one service, ms, over all its
+ * targets. It is a rolling median, which hardly moves until half the samples are
+ * slow, so one gray target cannot shift the baseline that it is compared with.
  */
 export class LatencyBaseline {
   readonly #samples: number[] = [];
@@ -23,7 +23,7 @@
     return this.#median;
   }
 
-  /** Adds the latency of one whole answer, ms. */
+  /** Adds the latency of one complete response, ms. */
   add(ms: number): void {
     this.#samples[this.#next] = ms;
     this.#next = (this.#next + 1) % WINDOW;
