--- a/src/sidecar/detection/probeHealth.ts
+++ b/src/sidecar/detection/probeHealth.ts
@@ -1,9 +1,9 @@
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 
-/** A probe slower than this has failed, ms; one takes about 25 ms. */
+/** Timeout of a health check, ms; one usually takes about 25 ms. */
 const PROBE_TIMEOUT_MS = 500;
 
-/** Asks a target's health endpoint; true when it answers below 400 in time. */
+/** Calls a target's health endpoint; resolves to true if it responds with a status below 400 in time. */
 export async function probeHealth(target: TargetInfo): Promise<boolean> {
   try {
     const res = await fetch(target.url + target.healthPath, {
