--- a/src/sidecar/detection/GrayFailureDetector.ts
+++ b/src/sidecar/detection/GrayFailureDetector.ts
@@ -4,158 +4,164 @@
 import type { DetectionRule } from "./DetectionRule.ts";
 import { DecayingScore } from "./DecayingScore.ts";
 import { GrayStateFilter } from "./GrayStateFilter.ts";
-import type { Admissible, HealthDetector } from "./HealthDetector.ts";
+import type { AdmissionRequest, HealthDetector } from "./HealthDetector.ts";
 
-/** Share of requests that a healthy target answers with an error of its own, and that a gray one fails. */
-const HEALTHY_FAILURES = 0.012;
-const GRAY_FAILURES = 0.85;
+/** Fraction of requests that a healthy target fails with errors of its own, and fraction that a gray target fails. */
+const HEALTHY_FAILURE_RATE = 0.012;
+const GRAY_FAILURE_RATE = 0.85;
 
 /**
- * What this target fails while it is under suspicion is learned: the share above weighs as much as so many of its
- * answers, which count for less the older they are. One that loses a third of its answers is then
- * known to be better than none.
+ * The failure rate of a suspect target is estimated from its own responses. {@link GRAY_FAILURE_RATE} is
+ * the prior, worth this many responses, and older responses count for less. A target that fails a third of
+ * its requests is then known to be better than none.
  */
-const LEARNED_AFTER = 4;
-const LEARNED_HALF_LIFE_MS = 4000;
+const PRIOR_SAMPLES = 4;
+const FAILURE_RATE_HALF_LIFE_MS = 4000;
 
-/** The learned share stays above this: below it, a target is not gray. */
-const LEAST_GRAY_FAILURES = 0.2;
+/** Lower bound of the estimated failure rate: a target that fails fewer requests is not gray. */
+const MIN_GRAY_FAILURE_RATE = 0.2;
 
-/** Log-odds of a target that has just answered well, nats: what evidence is counted from. */
-const WELL_NATS = -3.9;
+/** Log-odds of being gray right after a success, nats: the baseline from which evidence is counted. */
+const HEALTHY_LOG_ODDS = -3.9;
 
 /**
- * A failure of a request that began before one that has since been answered well says
- * less, as a share: a target's own errors come at the end of its work, those of a gray one at
- * once. It says something all the same: one that hangs is noticed long after it began.
+ * Weight of a failure whose request started before the newest request that has succeeded. It is weaker
+ * evidence, since a healthy target's own errors come at the end of its work and those of a gray one
+ * immediately. It still counts, because a hung request is only noticed long after it started.
  */
-const OLDER_SHARE = 0.5;
+const OVERLAPPED_FAILURE_WEIGHT = 0.5;
 
-/** A request whose time ran out before so many times the usual was not given a chance, and says nothing. */
-const TIME_ENOUGH = 1.5;
+/** A timeout after less than this many times the typical duration is no evidence: the request could not have finished. */
+const MIN_TIMEOUT_RATIO = 1.5;
 
 /**
- * Share of answers that a healthy target garbles, cuts short or takes from another
- * request, and that a gray one does. Such answers are remembered for long, since a few in a hundred are
- * worth finding.
+ * Fraction of responses that are malformed, truncated or meant for another request: from a healthy target,
+ * and from a gray one. They have a long half-life, since a few in a hundred are worth detecting.
  */
-const HEALTHY_WRONG = 0.001;
-const GRAY_WRONG = 0.05;
-const WRONG_NATS = Math.log(GRAY_WRONG / HEALTHY_WRONG);
-const NOT_WRONG_NATS = Math.log((1 - GRAY_WRONG) / (1 - HEALTHY_WRONG));
+const HEALTHY_WRONG_RATE = 0.001;
+const GRAY_WRONG_RATE = 0.05;
+const WRONG_NATS = Math.log(GRAY_WRONG_RATE / HEALTHY_WRONG_RATE);
+const NOT_WRONG_NATS = Math.log((1 - GRAY_WRONG_RATE) / (1 - HEALTHY_WRONG_RATE));
 const WRONG_HALF_LIFE_MS = 10_000;
 
-/** What a run that is still unanswered at three times its usual time weighs, nats: two of them are suspicious. */
+/** Evidence of a run without a response after three times its typical duration, nats: two of them make a target suspect. */
 const OVERDUE_NATS = 2;
 
 /**
- * A target is suspect from this chance of being gray on, once it has failed a request: after
- * one failure the chance is 0.2 to 0.6, by how long ago it answered well. It is cleared below the
- * lower one, which one or two good answers reach.
+ * A target becomes suspect if it has failed a request and its probability of being gray is at least the first
+ * threshold. After one failure the probability is 0.2 to 0.6, depending on how long ago it last succeeded.
+ * The suspicion is cleared below the second threshold, which one or two successes reach.
  */
-const SUSPECT_FROM = 0.15;
-const CLEARED_BELOW = 0.25;
+const SUSPECT_THRESHOLD = 0.15;
+const CLEAR_THRESHOLD = 0.25;
 
-/** An ejected target is readmitted below this chance, and stays suspect until it is cleared. */
-const READMITTED_BELOW = 0.75;
+/** An ejected target is readmitted below this probability, and stays suspect until it is cleared. */
+const READMIT_THRESHOLD = 0.75;
 
-/** Pace from which an answer's lateness is no evidence against a target that was ejected for it, as a share of the rule's. */
+/** A target ejected for slow responses is readmitted when its pace falls below this fraction of the rule's `slowFactor`. */
 const PACE_HYSTERESIS = 0.8;
 
-/** Weight of the newest answer in the pace: about the last six count. */
+/** Smoothing factor of the pace: about the last six responses count. */
 const PACE_WEIGHT = 0.16;
 
 /**
- * Expendable requests that a target is tried with at the same time: an ejected one that has failed the last;
- * one that has answered the last, as those do that fail three in four, too; and one that is likely to be well.
+ * Maximum number of concurrent probes: for an ejected target whose newest result is a failure; for one whose
+ * newest result is a success, which also happens with targets that fail three in four; and for one that is
+ * likely to be healthy.
  */
-const PROBES_FAILING = 1;
-const PROBES_UNSURE = 3;
-const PROBES_HOPEFUL = 5;
+const MAX_PROBES_FAILING = 1;
+const MAX_PROBES_RECOVERING = 3;
+const MAX_PROBES_LIKELY_HEALTHY = 5;
 
 /**
- * A target that failed a probe is left alone for this long before the next, ms; and where requests wait
- * for want of room, for this long: a target that is well again and not known to be is then missed.
- * Always the shorter one would fail more: each probe takes a request's first try.
+ * Wait after a failed probe before the next one, ms: normally, and for requests from a sidecar where requests
+ * are queued for capacity, which a target would provide that is healthy again but not yet known to be. Using
+ * the shorter interval everywhere would fail more requests, as each probe uses up a request's first attempt.
  */
-const PROBE_PAUSE_MS = 1000;
-const PRESSED_PAUSE_MS = 300;
+const PROBE_INTERVAL_MS = 1000;
+const QUEUED_PROBE_INTERVAL_MS = 300;
 
-/** What a probe under way takes to tell how the target is, ms, where the next one has to wait for it. */
-const PROBE_TAKES_MS = 200;
+/** Estimated duration of a probe, ms: the wait for the next one while the maximum number is in flight. */
+const PROBE_DURATION_MS = 200;
 
-/** An ejection this soon after the last, as a multiple of how long a silent target stays out, makes it stay out for longer. */
-const SOON_FACTOR = 4;
+/** An ejection within this many silence timeouts of the previous one doubles the silence timeout. */
+const REPEAT_EJECTION_FACTOR = 4;
 
 interface GrayFailureDetectorDeps {
   readonly rule: () => DetectionRule;
   readonly clock: Clock;
   readonly log: bunyan;
-  /** Told when the target is found gray, and when it is found well again. */
+  /** Called when the target is ejected and when it is readmitted. */
   readonly onChange?: (isEjected: boolean) => void;
 }
 
 /**
- * What the sidecar beside a target thinks of it, from every answer that it gave to
- * anyone: the chance that it is gray, and how its answer times compare with its
- * service's. One failure is enough for requests that have no other try to go elsewhere;
- * all work goes elsewhere from the document's threshold on. It comes back by proof, not by
- * the passing of time: expendable requests tell when it is well again. Only a target that
- * nothing is heard of is tried again in the end.
+ * Detects gray failures of the sidecar's co-located target from the outcomes of all its
+ * requests, whoever sent them: the probability that it is gray, and how its response times
+ * compare with those of its service. One failure makes it suspect, and requests that cannot
+ * be retried go to other targets; from the document's threshold on it is ejected, and all
+ * requests do. It is readmitted on evidence, not after a fixed time: retryable requests
+ * serve as probes. Only a target without any new evidence is tried again after a timeout.
  */
 export class GrayFailureDetector implements HealthDetector {
   readonly #deps: GrayFailureDetectorDeps;
-  readonly #gray: GrayStateFilter;
-  /** Answers while under suspicion, and those of them that were failures, fading. */
-  readonly #answers: DecayingScore;
+  readonly #grayState: GrayStateFilter;
+  /** Responses while suspect, and how many of them were failures; both decay with time. */
+  readonly #responses: DecayingScore;
   readonly #failures: DecayingScore;
-  readonly #wrongs: DecayingScore;
-  /** When the newest requests that failed, and that were answered well, began. */
-  #failedSince = -Infinity;
-  #okSince = -Infinity;
+  readonly #wrongResponses: DecayingScore;
+  /** When the most recently started requests that failed, and that succeeded, were started, ms. */
+  #latestFailureStart = -Infinity;
+  #latestSuccessStart = -Infinity;
   #suspected = false;
   #pace = 1;
-  #paceAt = 0;
-  #silentMs: number;
-  #heardAt: number;
+  #paceUpdatedAt = 0;
+  #silenceTimeoutMs: number;
+  #lastEvidenceAt: number;
   #ejected = false;
   #ejectedAt = -Infinity;
   #nextProbeAt = -Infinity;
 
   constructor(deps: GrayFailureDetectorDeps) {
     this.#deps = deps;
-    this.#gray = new GrayStateFilter(deps.clock);
-    this.#answers = new DecayingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
-    this.#failures = new DecayingScore(deps.clock, () => LEARNED_HALF_LIFE_MS);
-    this.#wrongs = new DecayingScore(deps.clock, () => WRONG_HALF_LIFE_MS);
-    this.#silentMs = deps.rule().ejectMs;
-    this.#heardAt = deps.clock.now();
+    this.#grayState = new GrayStateFilter(deps.clock);
+    this.#responses = new DecayingScore(deps.clock, () => FAILURE_RATE_HALF_LIFE_MS);
+    this.#failures = new DecayingScore(deps.clock, () => FAILURE_RATE_HALF_LIFE_MS);
+    this.#wrongResponses = new DecayingScore(deps.clock, () => WRONG_HALF_LIFE_MS);
+    this.#silenceTimeoutMs = deps.rule().ejectMs;
+    this.#lastEvidenceAt = deps.clock.now();
   }
 
   get risk(): number {
-    const gray = this.#gray.value;
-    const wrongs = GRAY_WRONG * (1 - Math.exp(-this.#wrongs.value));
-    return Math.min(1, gray * this.#grayFailures + (1 - gray) * HEALTHY_FAILURES + wrongs);
+    const grayChance = this.#grayState.value;
+    const wrongs = GRAY_WRONG_RATE * (1 - Math.exp(-this.#wrongResponses.value));
+    return Math.min(
+      1,
+      grayChance * this.#grayFailureRate + (1 - grayChance) * HEALTHY_FAILURE_RATE + wrongs,
+    );
   }
 
-  /** Share of requests that the target fails when it is gray. */
-  get #grayFailures(): number {
-    const seen = this.#failures.value + GRAY_FAILURES * LEARNED_AFTER;
-    return Math.max(LEAST_GRAY_FAILURES, seen / (this.#answers.value + LEARNED_AFTER));
+  /** Estimated fraction of requests that the target fails when it is gray. */
+  get #grayFailureRate(): number {
+    const weightedFailures = this.#failures.value + GRAY_FAILURE_RATE * PRIOR_SAMPLES;
+    return Math.max(
+      MIN_GRAY_FAILURE_RATE,
+      weightedFailures / (this.#responses.value + PRIOR_SAMPLES),
+    );
   }
 
-  /** What one failure, and one good answer, weigh, nats (log-likelihood ratios): 4.3 and -1.9 at first. */
+  /** Evidence of one failure, and of one success, nats (log-likelihood ratios): 4.3 and -1.9 at first. */
   get #failureNats(): number {
-    return Math.log(this.#grayFailures / HEALTHY_FAILURES);
+    return Math.log(this.#grayFailureRate / HEALTHY_FAILURE_RATE);
   }
 
   get #successNats(): number {
-    return Math.log((1 - this.#grayFailures) / (1 - HEALTHY_FAILURES));
+    return Math.log((1 - this.#grayFailureRate) / (1 - HEALTHY_FAILURE_RATE));
   }
 
   get pace(): number {
-    const age = this.#deps.clock.now() - this.#paceAt;
-    return 1 + (this.#pace - 1) * 0.5 ** ((2 * age) / this.#silentMs);
+    const age = this.#deps.clock.now() - this.#paceUpdatedAt;
+    return 1 + (this.#pace - 1) * 0.5 ** ((2 * age) / this.#silenceTimeoutMs);
   }
 
   get isSuspect(): boolean {
@@ -163,52 +169,54 @@
   }
 
   get isEjected(): boolean {
-    return this.#review();
+    return this.#updateEjection();
   }
 
   probeInMs(probes: number): number | undefined {
     if (!this.isSuspect) {
       return undefined;
     }
-    const pauseMs = Math.max(0, this.#nextProbeAt - this.#deps.clock.now());
-    const isTaken = probes >= this.#mostProbes;
-    return isTaken ? Math.max(pauseMs, PROBE_TAKES_MS) : pauseMs;
+    const waitMs = Math.max(0, this.#nextProbeAt - this.#deps.clock.now());
+    const isAtLimit = probes >= this.#maxProbes;
+    return isAtLimit ? Math.max(waitMs, PROBE_DURATION_MS) : waitMs;
   }
 
-  get #mostProbes(): number {
-    const isHopeful = !this.#ejected || this.#okSince > this.#failedSince;
-    if (!isHopeful) {
-      return PROBES_FAILING;
+  get #maxProbes(): number {
+    const isRecovering = !this.#ejected || this.#latestSuccessStart > this.#latestFailureStart;
+    if (!isRecovering) {
+      return MAX_PROBES_FAILING;
     }
-    return this.#gray.value < READMITTED_BELOW ? PROBES_HOPEFUL : PROBES_UNSURE;
+    return this.#grayState.value < READMIT_THRESHOLD
+      ? MAX_PROBES_LIKELY_HEALTHY
+      : MAX_PROBES_RECOVERING;
   }
 
-  admits({ acceptsRisk, isExpendable, isPressed }: Admissible, probes: number): boolean {
-    const soonestMs = isPressed ? PROBE_PAUSE_MS - PRESSED_PAUSE_MS : 0;
-    const isDue = () => (this.probeInMs(probes) ?? 0) <= soonestMs;
+  admits({ acceptsRisk, isExpendable, isPressed }: AdmissionRequest, probes: number): boolean {
+    const earlyMs = isPressed ? PROBE_INTERVAL_MS - QUEUED_PROBE_INTERVAL_MS : 0;
+    const isDue = () => (this.probeInMs(probes) ?? 0) <= earlyMs;
     return this.risk <= acceptsRisk || !this.isSuspect || (isExpendable && isDue());
   }
 
   note(outcome: AttemptOutcome, ms: number, typicalMs: number): void {
-    const since = this.#deps.clock.now() - ms;
+    const startedAt = this.#deps.clock.now() - ms;
     switch (outcome) {
       case AttemptOutcome.Ok:
-        this.#noteOk(since);
-        this.#notePace(ms, typicalMs);
+        this.#recordSuccess(startedAt);
+        this.#recordPace(ms, typicalMs);
         return;
       case AttemptOutcome.Failed:
       case AttemptOutcome.NoAnswer:
-        this.#noteFailure(since, this.#failureNats);
+        this.#recordFailure(startedAt, this.#failureNats);
         return;
       case AttemptOutcome.TimedOut:
-        if (ms >= typicalMs * TIME_ENOUGH) {
-          this.#noteFailure(since, OVERDUE_NATS);
+        if (ms >= typicalMs * MIN_TIMEOUT_RATIO) {
+          this.#recordFailure(startedAt, OVERDUE_NATS);
         }
         return;
       case AttemptOutcome.Wrong:
-        this.#pauseProbes();
-        this.#wrongs.add(WRONG_NATS, this.#deps.rule().threshold);
-        this.#review();
+        this.#delayNextProbe();
+        this.#wrongResponses.add(WRONG_NATS, this.#deps.rule().threshold);
+        this.#updateEjection();
         return;
       case AttemptOutcome.CallLost:
       case AttemptOutcome.Shed:
@@ -218,112 +226,120 @@
   }
 
   noteOverdue(ms: number): void {
-    this.#noteFailure(this.#deps.clock.now() - ms, OVERDUE_NATS);
+    this.#recordFailure(this.#deps.clock.now() - ms, OVERDUE_NATS);
   }
 
-  /** Nothing was heard of the target for as long as it is left alone without news. */
+  /** Whether there has been no new evidence for the silence timeout. */
   get #isSilent(): boolean {
-    return this.#deps.clock.now() - this.#heardAt >= this.#silentMs;
+    return this.#deps.clock.now() - this.#lastEvidenceAt >= this.#silenceTimeoutMs;
   }
 
-  #noteOk(since: number): void {
-    this.#wrongs.add(NOT_WRONG_NATS, this.#deps.rule().threshold);
-    this.#okSince = Math.max(this.#okSince, since);
-    if (since < this.#failedSince) {
-      // It began before the target failed another one, and says nothing of the time since.
-      this.#review();
+  #recordSuccess(startedAt: number): void {
+    this.#wrongResponses.add(NOT_WRONG_NATS, this.#deps.rule().threshold);
+    this.#latestSuccessStart = Math.max(this.#latestSuccessStart, startedAt);
+    if (startedAt < this.#latestFailureStart) {
+      // It started before the newest failed request did, so it is no evidence that the target has recovered.
+      this.#updateEjection();
       return;
     }
-    this.#learn(0);
-    this.#hear(this.#successNats);
+    this.#updateFailureRate(0);
+    this.#addEvidence(this.#successNats);
     this.#nextProbeAt = -Infinity;
-    if (this.#gray.value < CLEARED_BELOW) {
+    if (this.#grayState.value < CLEAR_THRESHOLD) {
       this.#suspected = false;
     }
   }
 
-  #noteFailure(since: number, nats: number): void {
-    this.#learn(1);
-    this.#hear(since < this.#okSince ? nats * OLDER_SHARE : nats);
-    this.#failedSince = Math.max(this.#failedSince, since);
-    this.#pauseProbes();
-    if (this.#gray.value >= SUSPECT_FROM) {
+  #recordFailure(startedAt: number, nats: number): void {
+    this.#updateFailureRate(1);
+    this.#addEvidence(
+      startedAt < this.#latestSuccessStart ? nats * OVERLAPPED_FAILURE_WEIGHT : nats,
+    );
+    this.#latestFailureStart = Math.max(this.#latestFailureStart, startedAt);
+    this.#delayNextProbe();
+    if (this.#grayState.value >= SUSPECT_THRESHOLD) {
       this.#suspected = true;
     }
   }
 
-  #learn(failures: 0 | 1): void {
+  #updateFailureRate(failures: 0 | 1): void {
     if (this.#suspected) {
-      this.#answers.add(1, Infinity);
+      this.#responses.add(1, Infinity);
       this.#failures.add(failures, Infinity);
     }
   }
 
-  #hear(nats: number): void {
-    this.#heardAt = this.#deps.clock.now();
-    this.#gray.add(nats);
-    this.#review();
+  #addEvidence(nats: number): void {
+    this.#lastEvidenceAt = this.#deps.clock.now();
+    this.#grayState.add(nats);
+    this.#updateEjection();
   }
 
-  #pauseProbes(): void {
+  #delayNextProbe(): void {
     if (this.#ejected) {
-      this.#nextProbeAt = this.#deps.clock.now() + PROBE_PAUSE_MS;
+      this.#nextProbeAt = this.#deps.clock.now() + PROBE_INTERVAL_MS;
     }
   }
 
-  #notePace(ms: number, typicalMs: number): void {
+  #recordPace(ms: number, typicalMs: number): void {
     if (typicalMs > 0 && ms - typicalMs < this.#deps.rule().slowMinMs) {
-      this.#movePace(Math.min(1, ms / typicalMs));
+      this.#updatePace(Math.min(1, ms / typicalMs));
     } else if (typicalMs > 0) {
-      this.#movePace(ms / typicalMs);
+      this.#updatePace(ms / typicalMs);
     }
   }
 
-  #movePace(ratio: number): void {
+  #updatePace(ratio: number): void {
     const pace = this.pace;
     this.#pace = pace + PACE_WEIGHT * (ratio - pace);
-    this.#paceAt = this.#deps.clock.now();
-    this.#review();
+    this.#paceUpdatedAt = this.#deps.clock.now();
+    this.#updateEjection();
   }
 
-  /** Weighs the evidence as it stands now, and tells of a change. */
-  #review(): boolean {
-    const isEjected = this.#ejected ? this.#staysOut() : this.#isGray();
+  /** Evaluates the evidence at the current time, and reports a change; returns whether the target is ejected. */
+  #updateEjection(): boolean {
+    const isEjected = this.#ejected ? this.#shouldStayEjected() : this.#shouldEject();
     if (isEjected !== this.#ejected) {
-      this.#change(isEjected);
+      this.#setEjected(isEjected);
     }
     return isEjected;
   }
 
-  #isGray(): boolean {
+  #shouldEject(): boolean {
     const { threshold, slowFactor } = this.#deps.rule();
-    const isFailing = this.#suspected && this.#gray.nats - WELL_NATS >= threshold;
-    return isFailing || this.#wrongs.value >= threshold || this.pace >= slowFactor;
+    const isFailing = this.#suspected && this.#grayState.nats - HEALTHY_LOG_ODDS >= threshold;
+    return isFailing || this.#wrongResponses.value >= threshold || this.pace >= slowFactor;
   }
 
-  #staysOut(): boolean {
+  #shouldStayEjected(): boolean {
     const { threshold, slowFactor } = this.#deps.rule();
-    const isFailing = !this.#isSilent && this.#gray.value >= READMITTED_BELOW;
-    const isWrong = this.#wrongs.value >= Math.min(threshold, WRONG_NATS);
-    return isFailing || isWrong || this.pace >= slowFactor * PACE_HYSTERESIS;
+    const isFailing = !this.#isSilent && this.#grayState.value >= READMIT_THRESHOLD;
+    const hasWrongResponses = this.#wrongResponses.value >= Math.min(threshold, WRONG_NATS);
+    return isFailing || hasWrongResponses || this.pace >= slowFactor * PACE_HYSTERESIS;
   }
 
-  #change(isEjected: boolean): void {
+  #setEjected(isEjected: boolean): void {
     const { clock, log } = this.#deps;
     const { ejectMs, maxEjectMs } = this.#deps.rule();
     const evidence = {
-      chance: round(this.#gray.value),
-      wrongs: this.#wrongs.value,
+      chance: round(this.#grayState.value),
+      wrongs: this.#wrongResponses.value,
       pace: this.pace,
     };
     this.#ejected = isEjected;
     if (isEjected) {
-      const soon = clock.now() - this.#ejectedAt < SOON_FACTOR * this.#silentMs;
-      this.#silentMs = soon ? Math.min(this.#silentMs * 2, maxEjectMs) : ejectMs;
+      const isRepeated =
+        clock.now() - this.#ejectedAt < REPEAT_EJECTION_FACTOR * this.#silenceTimeoutMs;
+      this.#silenceTimeoutMs = isRepeated
+        ? Math.min(this.#silenceTimeoutMs * 2, maxEjectMs)
+        : ejectMs;
       this.#ejectedAt = clock.now();
-      this.#nextProbeAt = clock.now() + PROBE_PAUSE_MS;
+      this.#nextProbeAt = clock.now() + PROBE_INTERVAL_MS;
     }
-    log.info({ ...evidence, silentMs: this.#silentMs }, isEjected ? "ejected" : "readmitted");
+    log.info(
+      { ...evidence, silentMs: this.#silenceTimeoutMs },
+      isEjected ? "ejected" : "readmitted",
+    );
     this.#deps.onChange?.(isEjected);
   }
 }
--- a/src/sidecar/detection/HealthDetector.ts
+++ b/src/sidecar/detection/HealthDetector.ts
@@ -1,39 +1,39 @@
 import type { AttemptOutcome } from "./AttemptOutcome.ts";
 
-/** What a detector needs to know of a request to admit it. */
-export interface Admissible {
-  /** Another try is left if this one fails: it can tell whether the target is well. */
+/** Properties of a request that decide whether a detector admits it to the target. */
+export interface AdmissionRequest {
+  /** The request can be retried if this attempt fails, so it can serve as a probe of the target. */
   readonly isExpendable: boolean;
-  /** Requests wait in line for want of room where it comes from. */
+  /** Requests are queued for capacity at the sidecar that sends it. */
   readonly isPressed: boolean;
-  /** There is no better target for it, unless this one fails it with a higher chance than this; 0 where there is. */
+  /** Highest failure probability at which no other target is better for the request; 0 if another one always is. */
   readonly acceptsRisk: number;
 }
 
-/** What is thought of the target beside this sidecar, from how its requests end. */
+/** Estimates the health of the sidecar's co-located target from the outcomes of its requests. */
 export interface HealthDetector {
-  /** Chance that it fails what it is given now, 0 to 1. */
+  /** Probability that it fails a request sent now, 0 to 1. */
   readonly risk: number;
-  /** How its answer times compare with those of its service: 1 is usual, 2 twice as long. */
+  /** Ratio of its response times to the typical ones of its service: 1 is typical, 2 is twice as long. */
   readonly pace: number;
-  /** Requests that have no other try had better go elsewhere. */
+  /** Requests that cannot be retried should go to other targets. */
   readonly isSuspect: boolean;
-  /** All work had better go elsewhere, but for what tells whether it is well again. */
+  /** All requests except probes should go to other targets. */
   readonly isEjected: boolean;
   /**
-   * In how long an expendable request would tell something, ms, while `probes` others are at it;
-   * undefined where the target is thought to be well.
+   * Time until a retryable request may be sent as the next probe, ms, while `probes` others are in
+   * flight; undefined if the target is considered healthy and needs no probe.
    */
   probeInMs(probes: number): number | undefined;
-  /** Whether the target may be given a request, while `probes` others are there to tell how it is. */
-  admits(req: Admissible, probes: number): boolean;
+  /** Whether a request may be sent to the target while `probes` probes are in flight. */
+  admits(req: AdmissionRequest, probes: number): boolean;
   /**
-   * Notes how a request ended.
+   * Records the outcome of a request.
    *
-   * @param ms time it took
-   * @param typicalMs what its kind usually takes at the service's targets; 0 when not known
+   * @param ms its duration, ms
+   * @param typicalMs typical duration of such requests at the service's targets, ms; 0 if unknown
    */
   note(outcome: AttemptOutcome, ms: number, typicalMs: number): void;
-  /** Notes that a request under way, which began `ms` ago, has taken far longer than usual. */
+  /** Records that a request in flight, started `ms` ago, has taken far longer than is typical. */
   noteOverdue(ms: number): void;
 }
