--- a/src/sidecar/detection/GrayFailureDetector.test.ts
+++ b/src/sidecar/detection/GrayFailureDetector.test.ts
@@ -7,11 +7,11 @@
 
 const { Ok, Failed, NoAnswer, TimedOut, Shed } = AttemptOutcome;
 
-/** As long as a silent target is left alone, ms. */
+/** Time without evidence after which an ejected target is tried again, ms. */
 const EJECT_MS = 5000;
 
-/** A detector for a target that has answered well until now. */
-function rig(threshold = 6) {
+/** A detector for a target whose requests have all succeeded so far. */
+function setUp(threshold = 6) {
   const clock = new FakeClock();
   const { detection } = makeService();
   const detector = new GrayFailureDetector({
@@ -20,7 +20,7 @@
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
   detector.note(Ok, 0, 0);
-  const state = () => (detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "well");
+  const state = () => (detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "healthy");
   return { clock, detector, state };
 }
 
@@ -31,22 +31,22 @@
 
 const cases: readonly { name: string; steps: readonly Step[]; state: string }[] = [
   {
-    name: "one failure half a second after a good answer is a suspicion",
+    name: "one failure half a second after a success makes the target suspect",
     steps: [{ wait: 500 }, { outcome: Failed, ms: 2 }],
     state: "suspect",
   },
   {
-    name: "two failures close together eject",
+    name: "two failures in quick succession eject the target",
     steps: [{ wait: 500 }, { outcome: Failed, ms: 2 }, { wait: 100 }, { outcome: NoAnswer, ms: 2 }],
     state: "ejected",
   },
   {
-    name: "one failure long after the last good answer ejects: what was known is old",
+    name: "one failure long after the last success ejects, since the success says little by then",
     steps: [{ wait: 4000 }, { outcome: Failed, ms: 2 }],
     state: "ejected",
   },
   {
-    name: "good answers clear a suspicion",
+    name: "successes clear a suspicion",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
@@ -55,13 +55,13 @@
       { outcome: Ok, ms: 50 },
       { outcome: Ok, ms: 50 },
     ],
-    state: "well",
+    state: "healthy",
   },
   {
-    // Story: a target turns gray, and the first request that it fails comes back at once. Half a
-    // second of bookings that it had taken on before go on and end well. Counted as proof, they
-    // cleared the suspicion, and the next bookings failed too.
-    name: "answers of requests that began before the failure clear nothing",
+    // A target that becomes gray fails a request immediately, while requests that it started up to half
+    // a second earlier still succeed. When those counted as evidence of recovery, they cleared the
+    // suspicion, and the next requests failed too.
+    name: "successes of requests that started before the failure do not clear the suspicion",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
@@ -73,9 +73,9 @@
     state: "suspect",
   },
   {
-    // Story: evidence faded with time, so a target that was left alone came back in the midst of its
-    // spell, and failed the next booking: 2 to 4 times a spell in the logs of a quiet day.
-    name: "while it is heard of, time alone clears nothing",
+    // When evidence decayed with time alone, a target without requests was readmitted while it was still
+    // gray, and failed the next request: 2 to 4 times per gray period in the logs of a quiet day.
+    name: "time alone does not clear a suspicion before the silence timeout",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
@@ -87,17 +87,17 @@
     state: "suspect",
   },
   {
-    name: "one that nothing is heard of is tried again in the end",
+    name: "an ejected target without new evidence is readmitted after the silence timeout",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
       { outcome: Failed, ms: 2 },
       { wait: EJECT_MS },
     ],
-    state: "well",
+    state: "healthy",
   },
   {
-    name: "one good answer readmits an ejected target, under suspicion",
+    name: "one success readmits an ejected target as suspect",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
@@ -108,7 +108,7 @@
     state: "suspect",
   },
   {
-    name: "a few good answers readmit",
+    name: "a few successes readmit an ejected target as healthy",
     steps: [
       { wait: 500 },
       { outcome: Failed, ms: 2 },
@@ -116,15 +116,15 @@
       { wait: 1000 },
       ...Array.from({ length: 5 }, () => ({ outcome: Ok, ms: 50 })),
     ],
-    state: "well",
+    state: "healthy",
   },
   {
-    name: "an error at the end of long work, with good answers since it began, is no suspicion",
+    name: "a late error of a long request does not make the target suspect if newer requests succeeded",
     steps: [{ wait: 500 }, { outcome: Ok, ms: 10 }, { wait: 200 }, { outcome: Failed, ms: 600 }],
-    state: "well",
+    state: "healthy",
   },
   {
-    name: "runs that hang are noticed while they last, though others are answered",
+    name: "hung runs make the target suspect before they end, even if other requests succeed",
     steps: [
       { wait: 500 },
       { overdue: 900 },
@@ -137,7 +137,7 @@
     state: "suspect",
   },
   {
-    name: "runs that end with their time eject in the end",
+    name: "repeated timeouts eject the target",
     steps: [
       { wait: 500 },
       { outcome: TimedOut, ms: 400 },
@@ -148,22 +148,22 @@
     state: "ejected",
   },
   {
-    // Story: some routes give less time than their work takes. Each of their requests ends late, 100 a
-    // played day, whatever target it is sent to.
-    name: "requests that were not given the time that they take say nothing",
+    // Some routes have timeouts shorter than their work takes. Their requests time out at every target,
+    // 100 times per simulated day.
+    name: "timeouts of requests with too short a deadline are no evidence",
     steps: Array.from({ length: 10 }, () => ({ outcome: TimedOut, ms: 80, typicalMs: 400 })),
-    state: "well",
+    state: "healthy",
   },
   {
-    name: "refusals for want of room say nothing of its health",
+    name: "rejections for lack of capacity are no evidence",
     steps: Array.from({ length: 10 }, () => ({ outcome: Shed, ms: 2 })),
-    state: "well",
+    state: "healthy",
   },
 ];
 
 for (const { name, steps, state } of cases) {
-  test(`judge: ${name}`, async (t) => {
-    const r = rig();
+  test(`health detector: ${name}`, async (t) => {
+    const r = setUp();
     for (const step of steps) {
       if ("wait" in step) {
         await r.clock.advance(step.wait);
@@ -177,47 +177,50 @@
   });
 }
 
-const expendable = { isExpendable: true, isPressed: false, acceptsRisk: 0 };
-const only = { isExpendable: false, isPressed: false, acceptsRisk: 0 };
+const retryable = { isExpendable: true, isPressed: false, acceptsRisk: 0 };
+const notRetryable = { isExpendable: false, isPressed: false, acceptsRisk: 0 };
 
-test("judge: a suspect takes no request that has no other try, and five that have", async (t) => {
-  const { clock, detector } = rig();
+test("health detector: a suspect target admits no request that cannot be retried, and up to five that can", async (t) => {
+  const { clock, detector } = setUp();
   await clock.advance(500);
   detector.note(Failed, 2, 0);
-  t.false(detector.admits(only, 0));
-  t.true(detector.admits({ ...only, acceptsRisk: 1 }, 0));
+  t.false(detector.admits(notRetryable, 0));
+  t.true(detector.admits({ ...notRetryable, acceptsRisk: 1 }, 0));
   t.deepEqual(
-    [0, 4, 5].map((probes) => detector.admits(expendable, probes)),
+    [0, 4, 5].map((probes) => detector.admits(retryable, probes)),
     [true, true, false],
   );
 });
 
-test("judge: an ejected target is tried with one request at a time, at a distance when it fails", async (t) => {
-  const { clock, detector } = rig();
+test("health detector: an ejected target gets one probe at a time, with a pause after a failed probe", async (t) => {
+  const { clock, detector } = setUp();
   await clock.advance(500);
   detector.note(Failed, 2, 0);
   detector.note(Failed, 2, 0);
-  t.is(detector.probeInMs(0), 1000, "left alone at first");
+  t.is(detector.probeInMs(0), 1000, "no probe right after the ejection");
   await clock.advance(1000);
   t.is(detector.probeInMs(0), 0);
-  t.true(detector.admits(expendable, 0));
-  t.false(detector.admits(expendable, 1));
+  t.true(detector.admits(retryable, 0));
+  t.false(detector.admits(retryable, 1));
   detector.note(Failed, 2, 0);
   await clock.advance(300);
-  t.false(detector.admits(expendable, 0));
-  t.true(detector.admits({ ...expendable, isPressed: true }, 0), "sooner where there is no room");
+  t.false(detector.admits(retryable, 0));
+  t.true(
+    detector.admits({ ...retryable, isPressed: true }, 0),
+    "sooner if requests are queued for capacity",
+  );
   detector.note(Failed, 2, 0);
   t.is(detector.probeInMs(0), 1000);
   await clock.advance(1000);
   detector.note(Ok, 50, 0);
-  t.is(detector.probeInMs(2), 0, "a good answer calls for others at once");
+  t.is(detector.probeInMs(2), 0, "the next probes follow a success at once");
 });
 
-test("judge: the risk falls with good answers, rises with failures, and drifts back with time", async (t) => {
-  const { clock, detector } = rig();
-  const fresh = detector.risk;
+test("health detector: the risk falls after successes, rises after failures, and returns to the prior over time", async (t) => {
+  const { clock, detector } = setUp();
+  const initialRisk = detector.risk;
   await clock.advance(3000);
-  const old = detector.risk;
+  const agedRisk = detector.risk;
   detector.note(Failed, 2, 0);
-  t.true(fresh < 0.02 && old > 0.05 && old < 0.3 && detector.risk > 0.6);
+  t.true(initialRisk < 0.02 && agedRisk > 0.05 && agedRisk < 0.3 && detector.risk > 0.6);
 });
