--- a/src/sidecar/records/ClaimReply.ts
+++ b/src/sidecar/records/ClaimReply.ts
@@ -1,5 +1,5 @@
 import type { RunRecord } from "./RunRecord.ts";
 
-/** A replica's answer to a claim: granted, or the record another attempt left. */
+/** A replica's reply to a claim: granted, or the record that another attempt holds for the key. */
 export type ClaimReply =
   { readonly kind: "granted" } | { readonly kind: "held"; readonly record: RunRecord };
