--- a/src/sidecar/records/AtMostOnceRunner.ts
+++ b/src/sidecar/records/AtMostOnceRunner.ts
@@ -12,36 +12,36 @@
 import type { RunRecord } from "./RunRecord.ts";
 import type { TargetInfo } from "../../membership/TargetInfo.ts";
 
-/** Answers larger than this are not kept for replay, bytes; a resend then only learns that it ran. */
+/** Larger responses are not stored for replay, bytes; a resend of the request then gets a may-have-run verdict. */
 const MAX_STORED_BYTES = 64 * 1024;
 
-/** Grace after an attempt's deadline before a claim left behind counts as of unknown outcome, ms. */
+/** Grace period after an attempt's deadline, ms. A claim that is not settled by then has an unknown outcome. */
 const CLAIM_GRACE_MS = 500;
 
-/** What the runner needs from the rest of the sidecar; passed in so tests can fake each. */
+/** Dependencies on the rest of the sidecar, which tests replace by fakes. */
 interface AtMostOnceRunnerDeps {
-  /** The replicas that keep the record of a key. */
+  /** Returns the record group of a key: the sidecars that hold its record. */
   readonly group: (key: string) => readonly RecordPeer[];
   readonly send: (target: TargetInfo, req: TargetRequest) => Promise<ForwardResult>;
   readonly clock: Clock;
 }
 
-/** What the replicas said to a claim. */
+/** The combined result of a claim at all replicas of a record group. */
 type ClaimResult =
   | { readonly kind: "granted" }
   | { readonly kind: "held"; readonly record: RunRecord }
   | { readonly kind: "unreachable" };
 
 /**
- * Runs non-idempotent requests at most once, beside the target. Before the
- * target sees the request, a quorum of the key's record group must have
- * recorded the attempt; a later request with the same key, through whatever
- * sidecar, finds that record and gets the stored answer, or learns that the
- * first is in progress or of unknown outcome. It never runs a second time.
+ * Runs non-idempotent requests at the co-located target at most once. Before
+ * the target receives the request, a quorum of the key's record group must have
+ * recorded the attempt. A later request with the same key, through any sidecar,
+ * finds that record and gets the stored response, or a verdict that the first
+ * one is in progress or has an unknown outcome. It never runs a second time.
  *
  * Comdb2 detects replays by a key kept with the data that the transaction
- * changes ("Comdb2", section on transaction replay); here targets are not
- * ours, so the record is kept beside them, by several sidecars.
+ * changes ("Comdb2", section on transaction replay). Here the targets belong to
+ * others, so several sidecars keep the record outside of the targets.
  */
 export class AtMostOnceRunner {
   readonly #deps: AtMostOnceRunnerDeps;
@@ -52,7 +52,7 @@
     this.#outcomes = new OutcomeReplicator(deps.clock);
   }
 
-  /** Runs `req`, whose idempotency key is `key`, at `target`; always resolves. */
+  /** Runs `req` with the idempotency key `key` at `target`; never rejects. */
   async run(key: string, target: TargetInfo, req: TargetRequest): Promise<ForwardResult> {
     const group = this.#deps.group(key);
     const record: RunRecord = {
@@ -66,11 +66,11 @@
       case "granted":
         return this.#runClaimed(group, key, record, target, req);
       case "held":
-        await this.#outcomes.keep(group, key, record.attempt, undefined);
-        return answerHeld(claimed.record, record.fingerprint, target, this.#deps.clock.now());
+        await this.#outcomes.replicate(group, key, record.attempt, undefined);
+        return toResult(claimed.record, record.fingerprint, target, this.#deps.clock.now());
       case "unreachable":
-        // Without a quorum the next attempt might not find this one, so nothing may run.
-        await this.#outcomes.keep(group, key, record.attempt, undefined);
+        // Without a quorum a later attempt might not find this one, so it must not run.
+        await this.#outcomes.replicate(group, key, record.attempt, undefined);
         return notRun("too few record replicas reachable");
     }
   }
@@ -83,18 +83,18 @@
     req: TargetRequest,
   ): Promise<ForwardResult> {
     if (this.#deps.clock.now() >= req.deadlineAt) {
-      await this.#outcomes.keep(group, key, record.attempt, undefined);
+      await this.#outcomes.replicate(group, key, record.attempt, undefined);
       return notRun("deadline passed before the request was sent");
     }
     const out = await this.#deps.send(target, req);
-    // Before the caller hears: a resend must find the outcome, and after a not-run the key
-    // must be free again, also when this process ends in the next moment. One round trip.
-    await this.#outcomes.keep(group, key, record.attempt, toRecord(record, out));
+    // This comes before the response to the caller, at the cost of one round trip: a resend must find
+    // the outcome, and after a not-run the key must be free, even if this process ends right after.
+    await this.#outcomes.replicate(group, key, record.attempt, toRecord(record, out));
     return out;
   }
 }
 
-/** Asks every replica; resolves as soon as the answer is certain. */
+/** Claims the key at every replica; resolves as soon as the combined result is certain. */
 function claimAll(
   group: readonly RecordPeer[],
   key: string,
@@ -103,42 +103,47 @@
   const needed = claimQuorum(group.length);
   return new Promise<ClaimResult>((resolve) => {
     let granted = 0;
-    let answered = 0;
+    let replies = 0;
     let held: RunRecord | undefined;
-    const note = (reply: ClaimReply | undefined) => {
-      answered += 1;
+    const onReply = (reply: ClaimReply | undefined) => {
+      replies += 1;
       if (reply?.kind === "granted") {
         granted += 1;
       } else if (reply) {
-        held = moreTelling(held, reply.record);
+        held = moreConclusive(held, reply.record);
       }
-      const proven = held !== undefined && held.state !== "claimed";
-      if (granted >= needed && !proven) {
-        // A claim of another attempt seen beside a quorum of grants is one that
-        // never got a quorum itself, so it cannot have run.
+      const hasOutcome = held !== undefined && held.state !== "claimed";
+      if (granted >= needed && !hasOutcome) {
+        // Another attempt's claim, found in spite of a quorum of grants, cannot have
+        // had a quorum itself, so that attempt has not run.
         resolve({ kind: "granted" });
-      } else if (held && (held.state === "done" || answered === group.length)) {
+      } else if (held && (held.state === "done" || replies === group.length)) {
         resolve({ kind: "held", record: held });
-      } else if (answered === group.length) {
+      } else if (replies === group.length) {
         resolve({ kind: "unreachable" });
       }
     };
     for (const replica of group) {
-      replica.claim(key, record).then(note, () => {
-        note(undefined);
+      replica.claim(key, record).then(onReply, () => {
+        onReply(undefined);
       });
     }
   });
 }
 
-/** The record that says more: done over unknown over claimed. */
-function moreTelling(a: RunRecord | undefined, b: RunRecord): RunRecord {
+/** Returns the record that is closer to a final outcome: done before unknown before claimed. */
+function moreConclusive(a: RunRecord | undefined, b: RunRecord): RunRecord {
   const rank = { claimed: 0, unknown: 1, done: 2 } as const;
   return a && rank[a.state] >= rank[b.state] ? a : b;
 }
 
-function answerHeld(held: RunRecord, mine: string, target: TargetInfo, now: number): ForwardResult {
-  if (held.fingerprint !== mine) {
+function toResult(
+  held: RunRecord,
+  ownFingerprint: string,
+  target: TargetInfo,
+  now: number,
+): ForwardResult {
+  if (held.fingerprint !== ownFingerprint) {
     return notRun("idempotency key was used for another request", 422);
   }
   if (held.state === "done") {
@@ -167,7 +172,7 @@
   };
 }
 
-/** The record of how an attempt ended; undefined when it did not run, which frees the key. */
+/** The record of an attempt's outcome; undefined if it did not run, which releases the key. */
 function toRecord(claim: RunRecord, out: ForwardResult): RunRecord | undefined {
   if (out.verdict.kind === "not-run") {
     return undefined;
@@ -184,7 +189,7 @@
   return { state: "done", attempt, fingerprint: digest, deadlineAt, answer };
 }
 
-/** A body that is passed on as it comes counts by its length only: it cannot be read before it is sent. */
+/** Digest of a request. Only the length of a streamed body is included, as it cannot be read before it is sent. */
 function fingerprint(req: TargetRequest): string {
   const digest = createHash("sha256").update(`${req.method}\n${req.path}\n`);
   const body = Buffer.isBuffer(req.body) ? req.body : `stream of ${req.bodyLength ?? "any"} bytes`;
--- a/src/sidecar/records/OutcomeReplicator.test.ts
+++ b/src/sidecar/records/OutcomeReplicator.test.ts
@@ -11,18 +11,18 @@
   deadlineAt: 1000,
 };
 
-/** A keeper whose first `failures` settles fail, each after `ms`. */
-const keeper = (clock: FakeClock, id: string, failures = 0, ms = 5) => {
+/** A record holder whose first `failures` settles fail, each after `ms`. */
+const makeHolder = (clock: FakeClock, id: string, failures = 0, ms = 5) => {
   const settled: (RunRecord | undefined)[] = [];
-  let left = failures;
+  let failuresLeft = failures;
   const peer: RecordPeer = {
     id,
-    claim: () => Promise.reject(new Error("not asked for here")),
+    claim: () => Promise.reject(new Error("claim is not part of this test")),
     settle: (_key, _attempt, record) =>
       new Promise((resolve, reject) => {
         clock.after(ms, () => {
-          if (left-- > 0) {
-            reject(new Error("unanswered"));
+          if (failuresLeft-- > 0) {
+            reject(new Error("no reply"));
           } else {
             settled.push(record);
             resolve();
@@ -33,48 +33,49 @@
   return { peer, settled };
 };
 
-// Story: a van is booked, and the sidecar beside it tells the key's keepers how the
-// booking ended. The caller's answer must not overtake that: the sidecar was killed
-// right after it had answered, a resend found only the claim at every keeper, and the
-// hirer was told that the booking may or may not have run (2 of 12 runs on a busy machine).
-test("an outcome counts as kept once all but one keeper of five have it", async (t) => {
+// The response must not reach the caller before the outcome reaches the record holders. When it did,
+// and the sidecar was killed right after responding, a resend found only the claim at every holder and
+// got the verdict that the request may have run (2 of 12 test runs on a busy machine).
+test("outcome replicator resolves only once four of five record holders have the outcome", async (t) => {
   const clock = new FakeClock();
-  const slow = keeper(clock, "slow", 0, 300);
-  const group = [1, 2, 3, 4].map((n) => keeper(clock, `k${n}`, 0, 10 * n));
-  const outcomes = new OutcomeReplicator(clock);
-  let isKept = false;
-  const all = [...group, slow].map((k) => k.peer);
-  void outcomes.keep(all, "key", "a1", outcome).then(() => (isKept = true));
+  const slow = makeHolder(clock, "slow", 0, 300);
+  const group = [1, 2, 3, 4].map((n) => makeHolder(clock, `k${n}`, 0, 10 * n));
+  const replicator = new OutcomeReplicator(clock);
+  let isReplicated = false;
+  const all = [...group, slow].map((holder) => holder.peer);
+  void replicator.replicate(all, "key", "a1", outcome).then(() => (isReplicated = true));
   await clock.advance(39);
-  t.false(isKept);
+  t.false(isReplicated);
   await clock.advance(1);
-  t.true(isKept);
+  t.true(isReplicated);
   t.is(slow.settled.length, 0);
 });
 
-// Story: the message to one keeper is lost. It would go on saying that the booking is under
-// way, and after the deadline that nobody knows, for as long as it keeps the record.
-test("a keeper that did not hear of an outcome is told again until it has", async (t) => {
+// If the message to one record holder is lost, that holder would report the request as in progress, and
+// as of unknown outcome after the deadline, for as long as it keeps the record.
+test("outcome replicator retries until a record holder has acknowledged the outcome", async (t) => {
   const clock = new FakeClock();
-  const deaf = keeper(clock, "deaf", 3);
-  const sound = keeper(clock, "sound");
+  const failing = makeHolder(clock, "failing", 3);
+  const reachable = makeHolder(clock, "reachable");
   await Promise.all([
-    new OutcomeReplicator(clock).keep([deaf.peer, sound.peer], "key", "a1", outcome),
+    new OutcomeReplicator(clock).replicate([failing.peer, reachable.peer], "key", "a1", outcome),
     clock.advance(10_000),
   ]);
-  t.deepEqual(deaf.settled, [outcome]);
-  t.deepEqual(sound.settled, [outcome]);
+  t.deepEqual(failing.settled, [outcome]);
+  t.deepEqual(reachable.settled, [outcome]);
 });
 
-test("keepers that are gone do not hold the caller's answer up, nor are they told for ever", async (t) => {
+test("outcome replicator neither delays the response for unreachable record holders nor retries for ever", async (t) => {
   const clock = new FakeClock();
-  const gone = [1, 2, 3].map((n) => keeper(clock, `gone${n}`, Infinity, 400));
-  const sound = keeper(clock, "sound");
-  let isKept = false;
-  const group = [...gone, sound].map((k) => k.peer);
-  void new OutcomeReplicator(clock).keep(group, "key", "a1", outcome).then(() => (isKept = true));
+  const unreachable = [1, 2, 3].map((n) => makeHolder(clock, `gone${n}`, Infinity, 400));
+  const reachable = makeHolder(clock, "reachable");
+  let isReplicated = false;
+  const group = [...unreachable, reachable].map((holder) => holder.peer);
+  void new OutcomeReplicator(clock)
+    .replicate(group, "key", "a1", outcome)
+    .then(() => (isReplicated = true));
   await clock.advance(400);
-  t.true(isKept);
+  t.true(isReplicated);
   await clock.advance(60_000);
-  t.is(sound.settled.length, 1);
+  t.is(reachable.settled.length, 1);
 });
--- a/src/sidecar/records/OutcomeReplicator.ts
+++ b/src/sidecar/records/OutcomeReplicator.ts
@@ -3,13 +3,13 @@
 import type { RecordPeer } from "./RecordPeer.ts";
 import type { RunRecord } from "./RunRecord.ts";
 
-/** A keeper that has not acknowledged an outcome is told again after this long, ms; each time after twice as long... */
+/** Delay before an unacknowledged outcome is sent to a record holder again, ms; it doubles with every retry. */
 const FIRST_RETRY_MS = 250;
 
-/** ...this often: for 16 s in all. One that is unreachable for 30 s gives its place to another. */
-const RETRIES = 6;
+/** Retries per record holder, over 16 s in total. A holder that is unreachable for 30 s is replaced by another. */
+const MAX_RETRIES = 6;
 
-/** Tells the keepers of a key how the attempt under it ended. */
+/** Sends the outcome of an attempt to all record holders of its idempotency key. */
 export class OutcomeReplicator {
   readonly #clock: Clock;
 
@@ -18,13 +18,13 @@
   }
 
   /**
-   * Tells every keeper of `group` that `attempt` ended as `record`, or did not run where
-   * there is none. Resolves once a quorum has it, or every keeper was tried: a caller's
-   * answer that waits for this can be replayed even when this process ends right after.
-   * Keepers that did not acknowledge are told again later: one that never hears goes on
-   * holding a claim, which after its deadline reads as an unknown outcome.
+   * Settles the claim of `attempt` at every record holder of `group`: with `record`, or as not run
+   * if that is undefined. Resolves once a quorum has acknowledged, or every holder has been tried: a
+   * response that waits for this can be replayed even if this process ends right after it.
+   * Holders that did not acknowledge get the outcome again later. One that never gets it keeps
+   * the claim, which counts as an unknown outcome after its deadline.
    */
-  keep(
+  replicate(
     group: readonly RecordPeer[],
     key: string,
     attempt: string,
@@ -33,36 +33,36 @@
     const needed = claimQuorum(group.length);
     return new Promise((resolve) => {
       let acknowledged = 0;
-      let tried = 0;
-      const note = (isDone: boolean) => {
-        acknowledged += Number(isDone);
-        tried += 1;
-        if (acknowledged >= needed || tried === group.length) {
+      let attempted = 0;
+      const onResult = (isAcknowledged: boolean) => {
+        acknowledged += Number(isAcknowledged);
+        attempted += 1;
+        if (acknowledged >= needed || attempted === group.length) {
           resolve();
         }
       };
-      for (const keeper of group) {
-        const tell = () => keeper.settle(key, attempt, record);
-        tell().then(
+      for (const holder of group) {
+        const settle = () => holder.settle(key, attempt, record);
+        settle().then(
           () => {
-            note(true);
+            onResult(true);
           },
           () => {
-            note(false);
-            this.#tellAgain(tell, FIRST_RETRY_MS, RETRIES);
+            onResult(false);
+            this.#retry(settle, FIRST_RETRY_MS, MAX_RETRIES);
           },
         );
       }
     });
   }
 
-  #tellAgain(tell: () => Promise<void>, waitMs: number, left: number): void {
-    if (left === 0) {
-      return; // Its claim reads as unknown from its deadline on, which is safe.
+  #retry(settle: () => Promise<void>, waitMs: number, retriesLeft: number): void {
+    if (retriesLeft === 0) {
+      return; // The holder's claim counts as an unknown outcome after its deadline, which is safe.
     }
     this.#clock.after(waitMs, () => {
-      tell().catch(() => {
-        this.#tellAgain(tell, waitMs * 2, left - 1);
+      settle().catch(() => {
+        this.#retry(settle, waitMs * 2, retriesLeft - 1);
       });
     });
   }
