--- a/src/sidecar/records/AtMostOnceRunner.test.ts
+++ b/src/sidecar/records/AtMostOnceRunner.test.ts
@@ -14,7 +14,7 @@
 
 const target = makeTarget("vans-0");
 
-const request = (over: Partial<TargetRequest> = {}): TargetRequest => ({
+const makeRequest = (over: Partial<TargetRequest> = {}): TargetRequest => ({
   method: "POST",
   path: "/vans",
   headers: [],
@@ -30,19 +30,19 @@
   ...over,
 });
 
-const answer: ForwardResult = {
+const doneResult: ForwardResult = {
   verdict: { kind: "done", target: target.id, status: 200 },
   outcome: AttemptOutcome.Ok,
   headers: { "content-type": "text/plain" },
   body: Buffer.from("booked"),
 };
 
-const shed: ForwardResult = {
+const shedResult: ForwardResult = {
   verdict: { kind: "not-run", reason: "shed", retryAfterMs: 1000 },
   outcome: AttemptOutcome.Shed,
 };
 
-const lost: ForwardResult = {
+const lostResult: ForwardResult = {
   verdict: {
     kind: "may-have-run",
     target: target.id,
@@ -53,13 +53,13 @@
   outcome: AttemptOutcome.NoAnswer,
 };
 
-/** A replica in this process; can be down, and answers after `delay` ms. */
+/** A replica in this process; it can be down, and replies after `delayMs`. */
 class FakeReplica implements RecordPeer {
   readonly id: string;
   readonly zone: string;
   records = new RunRecords(undefined, () => performance.now());
   down = false;
-  delay = 0;
+  delayMs = 0;
 
   constructor(n: number) {
     this.id = `s${n}`;
@@ -67,18 +67,18 @@
   }
 
   async claim(...args: Parameters<RunRecords["claim"]>): Promise<ClaimReply> {
-    await this.#reach();
+    await this.#simulateNetwork();
     return this.records.claim(...args);
   }
 
   async settle(...args: Parameters<RunRecords["settle"]>): Promise<void> {
-    await this.#reach();
+    await this.#simulateNetwork();
     return this.records.settle(...args);
   }
 
-  async #reach(): Promise<void> {
-    if (this.delay > 0) {
-      await new Promise((r) => setTimeout(r, this.delay));
+  async #simulateNetwork(): Promise<void> {
+    if (this.delayMs > 0) {
+      await new Promise((r) => setTimeout(r, this.delayMs));
     }
     if (this.down) {
       throw new Error("unreachable");
@@ -86,17 +86,17 @@
   }
 }
 
-const replicas = (count: number) => Array.from({ length: count }, (_, n) => new FakeReplica(n));
+const makeReplicas = (count: number) => Array.from({ length: count }, (_, n) => new FakeReplica(n));
 
-/** A runner over `pool` whose target gives `answers` in turn, then the last for ever. */
-function runnerOver(pool: readonly FakeReplica[], ...answers: ForwardResult[]) {
+/** A runner over `pool` whose target returns `results` one after the other, and the last one from then on. */
+function makeRunner(pool: readonly FakeReplica[], ...results: ForwardResult[]) {
   const sent = { count: 0 };
   const runner = new AtMostOnceRunner({
     clock: SystemClock,
     group: (key) => chooseRecordGroup(key, pool),
     send: () => {
       sent.count += 1;
-      return Promise.resolve(answers[sent.count - 1] ?? answers.at(-1) ?? answer);
+      return Promise.resolve(results[sent.count - 1] ?? results.at(-1) ?? doneResult);
     },
   });
   return { runner, sent };
@@ -108,61 +108,71 @@
   runs: number;
   verdict: ForwardResult["verdict"]["kind"];
 }[] = [
-  // The van is booked, the answer is lost on the way to the phone, the phone resends.
-  { name: "after a lost answer gets the stored one", first: answer, runs: 1, verdict: "done" },
-  // The target reset the connection: it may have booked the van or not.
-  { name: "after an unknown outcome is not run", first: lost, runs: 1, verdict: "may-have-run" },
-  // The target said that it did not run it, so the key is free again.
-  { name: "after a not-run is run", first: shed, runs: 2, verdict: "done" },
+  // The request ran, and its response was lost on the way to the caller.
+  {
+    name: "after a lost response gets the stored response",
+    first: doneResult,
+    runs: 1,
+    verdict: "done",
+  },
+  // The target reset the connection, so the request may or may not have run.
+  {
+    name: "after an unknown outcome is not run again",
+    first: lostResult,
+    runs: 1,
+    verdict: "may-have-run",
+  },
+  // The target reported that it did not run the request, so the key is released.
+  { name: "after a not-run verdict is run", first: shedResult, runs: 2, verdict: "done" },
 ];
 
 for (const c of resendCases) {
-  test(`a resend through another sidecar ${c.name}`, async (t) => {
-    const pool = replicas(7);
-    const one = runnerOver(pool, c.first);
-    const two = runnerOver(pool, answer);
-    await one.runner.run("k", target, request());
-    const out = await two.runner.run("k", target, request());
-    t.is(one.sent.count + two.sent.count, c.runs);
+  test(`at most once: a resend through another sidecar ${c.name}`, async (t) => {
+    const pool = makeReplicas(7);
+    const first = makeRunner(pool, c.first);
+    const second = makeRunner(pool, doneResult);
+    await first.runner.run("k", target, makeRequest());
+    const out = await second.runner.run("k", target, makeRequest());
+    t.is(first.sent.count + second.sent.count, c.runs);
     t.is(out.verdict.kind, c.verdict);
     const body = "body" in out && Buffer.isBuffer(out.body) ? out.body.toString() : undefined;
     t.is(body, c.verdict === "done" ? "booked" : undefined);
   });
 }
 
-test("naive: a record at one sidecar only lets a resend through another run twice", async (t) => {
-  // Story: what the record group is for. Each sidecar remembers just what
-  // itself ran; the phone reconnects, lands on another sidecar and resends.
-  const [a, b] = replicas(2);
-  const one = runnerOver(a ? [a] : [], answer);
-  const two = runnerOver(b ? [b] : [], answer);
-  await one.runner.run("k", target, request());
-  await two.runner.run("k", target, request());
-  t.is(one.sent.count + two.sent.count, 2);
+test("at most once: with the record at a single sidecar, a resend through another one runs twice", async (t) => {
+  // Shows why there are record groups: each sidecar only has records of its own runs here, and the
+  // caller reconnects to another sidecar and resends.
+  const [a, b] = makeReplicas(2);
+  const first = makeRunner(a ? [a] : [], doneResult);
+  const second = makeRunner(b ? [b] : [], doneResult);
+  await first.runner.run("k", target, makeRequest());
+  await second.runner.run("k", target, makeRequest());
+  t.is(first.sent.count + second.sent.count, 2);
 });
 
-test("a resend while the first is running is told so, and not run", async (t) => {
-  const pool = replicas(5);
+test("at most once: a resend during the first run gets an in-progress verdict and is not run", async (t) => {
+  const pool = makeReplicas(5);
   let finish: (out: ForwardResult) => void = () => undefined;
   const slow = new AtMostOnceRunner({
     clock: SystemClock,
     group: (key) => chooseRecordGroup(key, pool),
     send: () => new Promise((resolve) => (finish = resolve)),
   });
-  const first = slow.run("k", target, request());
+  const first = slow.run("k", target, makeRequest());
   await new Promise((r) => setTimeout(r, 20));
-  const { runner, sent } = runnerOver(pool, answer);
-  t.is((await runner.run("k", target, request())).verdict.kind, "in-progress");
+  const { runner, sent } = makeRunner(pool, doneResult);
+  t.is((await runner.run("k", target, makeRequest())).verdict.kind, "in-progress");
   t.is(sent.count, 0);
-  finish(answer);
+  finish(doneResult);
   t.is((await first).verdict.kind, "done");
 });
 
-test("a key used for another request is refused, and not run", async (t) => {
-  const pool = replicas(5);
-  const { runner, sent } = runnerOver(pool, answer);
-  await runner.run("k", target, request());
-  const out = await runner.run("k", target, request({ body: Buffer.from('{"van":2}') }));
+test("at most once: a key already used for another request is rejected, and the request not run", async (t) => {
+  const pool = makeReplicas(5);
+  const { runner, sent } = makeRunner(pool, doneResult);
+  await runner.run("k", target, makeRequest());
+  const out = await runner.run("k", target, makeRequest({ body: Buffer.from('{"van":2}') }));
   t.is(out.verdict.kind, "not-run");
   t.is(sent.count, 1);
 });
@@ -175,56 +185,58 @@
 ];
 
 for (const c of downCases) {
-  test(`with ${c.down} of ${c.of} replicas unreachable, ${c.runs} runs`, async (t) => {
-    const pool = replicas(c.of);
+  test(`at most once: with ${c.down} of ${c.of} replicas unreachable, ${c.runs} runs`, async (t) => {
+    const pool = makeReplicas(c.of);
     pool.slice(0, c.down).forEach((r) => (r.down = true));
-    const { runner, sent } = runnerOver(pool, answer);
-    const out = await runner.run("k", target, request());
+    const { runner, sent } = makeRunner(pool, doneResult);
+    const out = await runner.run("k", target, makeRequest());
     t.is(sent.count, c.runs);
     t.is(out.verdict.kind, c.runs === 1 ? "done" : "not-run");
   });
 }
 
-test("a record outlives two replicas lost at once, their disks with them", async (t) => {
-  // Story: a van is booked; a rack goes and takes two sidecars that kept the
-  // record; they come back empty. The hirer resends: the van is not booked twice.
-  const pool = replicas(5);
-  const first = runnerOver(pool, answer);
-  await first.runner.run("k", target, request());
+test("at most once: a record survives the loss of two replicas and their disks at the same time", async (t) => {
+  // Two record holders in the same rack fail and come back without their records. A resend must
+  // still find the record at the other holders, and not run again.
+  const pool = makeReplicas(5);
+  const first = makeRunner(pool, doneResult);
+  await first.runner.run("k", target, makeRequest());
   for (const replica of pool.slice(1, 3)) {
     replica.records = new RunRecords(undefined, () => performance.now());
   }
-  const { runner, sent } = runnerOver(pool, answer);
-  const out = await runner.run("k", target, request());
+  const { runner, sent } = makeRunner(pool, doneResult);
+  const out = await runner.run("k", target, makeRequest());
   t.is(sent.count, 0);
   t.is(out.verdict.kind, "done");
 });
 
-test("whatever the order, delays, losses and views, a request runs at most once", async (t) => {
-  // Story: impatient callers send one booking several times at once through
-  // several sidecars; answers of replicas overtake each other, one replica is
-  // down, and one sidecar has not heard of the newest member yet.
+test("at most once: concurrent resends never run twice despite delays, an unreachable replica and differing views", async (t) => {
+  // The same request arrives several times at once through several sidecars, while replies of replicas
+  // are reordered, one replica may be down, and some sidecars do not know the newest member yet.
   await fc.assert(
     fc.asyncProperty(
       fc.array(fc.integer({ min: 0, max: 4 }), { minLength: 7, maxLength: 7 }),
       fc.option(fc.integer({ min: 0, max: 6 })),
-      fc.array(fc.record({ wait: fc.integer({ min: 0, max: 8 }), lacksNewest: fc.boolean() }), {
-        minLength: 2,
-        maxLength: 5,
-      }),
+      fc.array(
+        fc.record({ wait: fc.integer({ min: 0, max: 8 }), lacksNewestMember: fc.boolean() }),
+        {
+          minLength: 2,
+          maxLength: 5,
+        },
+      ),
       async (delays, downAt, sends) => {
-        const pool = replicas(7);
+        const pool = makeReplicas(7);
         pool.forEach((r, n) => {
-          r.delay = delays[n] ?? 0;
+          r.delayMs = delays[n] ?? 0;
           r.down = n === downAt;
         });
         let runs = 0;
         await Promise.all(
-          sends.map(async ({ wait, lacksNewest }) => {
+          sends.map(async ({ wait, lacksNewestMember }) => {
             await new Promise((r) => setTimeout(r, wait));
-            const view = lacksNewest ? pool.slice(0, 6) : pool;
-            const { runner, sent } = runnerOver(view, answer);
-            await runner.run("k", target, request());
+            const view = lacksNewestMember ? pool.slice(0, 6) : pool;
+            const { runner, sent } = makeRunner(view, doneResult);
+            await runner.run("k", target, makeRequest());
             runs += sent.count;
           }),
         );
