--- a/src/sidecar/records/RecordHandover.test.ts
+++ b/src/sidecar/records/RecordHandover.test.ts
@@ -12,35 +12,34 @@
   incarnation,
 });
 
-test("a keeper that comes back empty gets its records again, once, also when it is not up at once", async (t) => {
-  // Story: a machine that kept booking records is repaired and comes back with
-  // an empty disk; soon after a second keeper is lost. The records must have
-  // been copied to the first by then, or the second loss wears them away.
+test("record handover sends a restarted member its records once, and retries while it is unreachable", async (t) => {
+  // A record holder comes back with an empty disk, and a second one is lost soon after. The first must
+  // have its records again by then, or the second loss removes further copies of them.
   const records = new RunRecords(undefined, () => performance.now());
   await records.claim("k", record);
   let pool = [member(0), member(1), member(2)];
   let reachable = true;
-  const handed: string[] = [];
+  const transferred: string[] = [];
   const handover = new RecordHandover({
     selfId: "s0",
     records,
     pool: () => pool,
-    send: (address, due) => {
+    send: (address, entries) => {
       if (!reachable) {
-        return Promise.reject(new Error("not up yet"));
+        return Promise.reject(new Error("unreachable"));
       }
-      handed.push(...due.map((d) => `${address} ${d.key}`));
+      transferred.push(...entries.map((entry) => `${address} ${entry.key}`));
       return Promise.resolve();
     },
   });
-  await handover.check();
-  t.deepEqual(handed.splice(0).sort(), ["127.0.0.1:1 k", "127.0.0.1:2 k"]);
-  await handover.check();
-  t.deepEqual(handed, []);
+  await handover.transferToNewMembers();
+  t.deepEqual(transferred.splice(0).sort(), ["127.0.0.1:1 k", "127.0.0.1:2 k"]);
+  await handover.transferToNewMembers();
+  t.deepEqual(transferred, []);
   pool = [member(0), member(1, 2), member(2)];
   reachable = false;
-  await handover.check();
+  await handover.transferToNewMembers();
   reachable = true;
-  await handover.check();
-  t.deepEqual(handed, ["127.0.0.1:1 k"]);
+  await handover.transferToNewMembers();
+  t.deepEqual(transferred, ["127.0.0.1:1 k"]);
 });
--- a/src/sidecar/records/RecordHandover.ts
+++ b/src/sidecar/records/RecordHandover.ts
@@ -4,8 +4,8 @@
 import type { RunRecord } from "./RunRecord.ts";
 import type { RunRecords } from "./RunRecords.ts";
 
-/** How often changes of the members are looked for, ms. */
-const CHECK_MS = 500;
+/** Interval at which the members are checked for changes, ms. */
+const CHECK_INTERVAL_MS = 500;
 
 interface Member {
   readonly id: string;
@@ -16,7 +16,7 @@
 
 type KeyedRecord = ReturnType<RunRecords["entries"]>[number];
 
-/** What the handover needs; passed in so tests can fake each. */
+/** Dependencies, which tests replace by fakes. */
 interface RecordHandoverDeps {
   readonly selfId: string;
   readonly records: RunRecords;
@@ -25,55 +25,55 @@
 }
 
 /**
- * Repairs record groups: when a member joins, or comes back with its process
- * restarted and maybe its disk lost, every holder copies it the records whose
- * groups it is now in. Without this, losing one machine after another would
- * wear a record away, as when a second machine is lost right after a repair.
+ * Repairs record groups: when a member joins, or restarts and may have lost its
+ * disk, every record holder sends it copies of the records whose groups now
+ * include it. Without this, losing one VM after another would remove all copies
+ * of a record, for example when a second one fails right after a repair.
  */
 export class RecordHandover extends Disposable {
   readonly #deps: RecordHandoverDeps;
-  #served = new Set<string>();
+  #upToDate = new Set<string>();
 
   constructor(deps: RecordHandoverDeps) {
     super();
     this.#deps = deps;
   }
 
-  /** Starts looking for new members until disposed. */
+  /** Checks for new members periodically until disposed. */
   start(): void {
-    this.register(every(CHECK_MS, () => void this.check()));
+    this.register(every(CHECK_INTERVAL_MS, () => void this.transferToNewMembers()));
   }
 
-  /** Hands records to members not served yet; one that cannot be reached is tried again next time. */
-  async check(): Promise<void> {
+  /** Sends records to members that have not received theirs yet; an unreachable member is tried again at the next check. */
+  async transferToNewMembers(): Promise<void> {
     const pool = this.#deps.pool();
-    const others = pool.filter((m) => m.id !== this.#deps.selfId);
-    const current = new Set(others.map(identity));
-    this.#served = new Set([...this.#served].filter((id) => current.has(id)));
-    const newcomers = others.filter((m) => !this.#served.has(identity(m)));
-    if (newcomers.length === 0) {
+    const others = pool.filter((member) => member.id !== this.#deps.selfId);
+    const current = new Set(others.map(incarnationKey));
+    this.#upToDate = new Set([...this.#upToDate].filter((id) => current.has(id)));
+    const newMembers = others.filter((member) => !this.#upToDate.has(incarnationKey(member)));
+    if (newMembers.length === 0) {
       return;
     }
     const groups = this.#deps.records.entries().map((entry) => ({
       entry,
-      ids: new Set(chooseRecordGroup(entry.key, pool).map((m) => m.id)),
+      ids: new Set(chooseRecordGroup(entry.key, pool).map((member) => member.id)),
     }));
     await Promise.all(
-      newcomers.map(async (m) => {
-        const due = groups.filter((g) => g.ids.has(m.id)).map((g) => g.entry);
-        if (due.length === 0 || (await this.#hand(m, due))) {
-          this.#served.add(identity(m));
+      newMembers.map(async (member) => {
+        const records = groups.filter((g) => g.ids.has(member.id)).map((g) => g.entry);
+        if (records.length === 0 || (await this.#transfer(member, records))) {
+          this.#upToDate.add(incarnationKey(member));
         }
       }),
     );
   }
 
-  async #hand(
+  async #transfer(
     member: Member,
-    due: readonly { key: string; record: RunRecord }[],
+    records: readonly { key: string; record: RunRecord }[],
   ): Promise<boolean> {
     try {
-      await this.#deps.send(member.peerAddress, due);
+      await this.#deps.send(member.peerAddress, records);
       return true;
     } catch {
       return false;
@@ -81,4 +81,4 @@
   }
 }
 
-const identity = (m: Member) => `${m.id}@${m.incarnation}`;
+const incarnationKey = (member: Member) => `${member.id}@${member.incarnation}`;
