--- a/src/sidecar/records/RecordService.ts
+++ b/src/sidecar/records/RecordService.ts
@@ -4,7 +4,7 @@
 import { recordWire } from "./recordWire.ts";
 import type { RunRecords } from "./RunRecords.ts";
 
-/** The gRPC handlers for the records that this sidecar keeps of non-idempotent requests. */
+/** gRPC handlers for the records of non-idempotent requests that this sidecar holds. */
 export class RecordService {
   readonly #records: RunRecords;
   readonly #clock: Clock;
@@ -14,7 +14,7 @@
     this.#clock = clock;
   }
 
-  /** Handlers keyed by rpc name, for `server.addService`. */
+  /** Handlers by rpc name, for `server.addService`. */
   handlers(): grpc.UntypedServiceImplementation {
     return { Claim: this.#claim, Settle: this.#settle, Adopt: this.#adopt };
   }
@@ -23,20 +23,23 @@
     call,
     cb,
   ) => {
-    reply(cb, async () => {
+    respond(cb, async () => {
       const { key, record } = call.request;
       if (!record) {
-        throw new Error("claim without a record");
+        throw new Error("claim request has no record");
       }
-      const answer = await this.#records.claim(key, recordWire.decode(record, this.#clock.now()));
-      return answer.kind === "granted"
+      const claimReply = await this.#records.claim(
+        key,
+        recordWire.decode(record, this.#clock.now()),
+      );
+      return claimReply.kind === "granted"
         ? { granted: true, held: null }
-        : { granted: false, held: recordWire.encode(answer.record, this.#clock.now()) };
+        : { granted: false, held: recordWire.encode(claimReply.record, this.#clock.now()) };
     });
   };
 
   readonly #settle: grpc.handleUnaryCall<ProtoTypes["SettleRequest"], object> = (call, cb) => {
-    reply(cb, async () => {
+    respond(cb, async () => {
       const { key, attempt, record } = call.request;
       await this.#records.settle(
         key,
@@ -48,7 +51,7 @@
   };
 
   readonly #adopt: grpc.handleUnaryCall<ProtoTypes["KeyedRecords"], object> = (call, cb) => {
-    reply(cb, async () => {
+    respond(cb, async () => {
       for (const { key, record } of call.request.records) {
         if (record) {
           await this.#records.adopt(key, recordWire.decode(record, this.#clock.now()));
@@ -59,9 +62,9 @@
   };
 }
 
-/** Answers a call with what `work` gives, or with its error (a disk that refuses, say). */
-function reply<T>(cb: grpc.sendUnaryData<T>, work: () => Promise<T>): void {
-  work().then(
+/** Completes a call with the result of `handle`, or with its error, such as a failed disk write. */
+function respond<T>(cb: grpc.sendUnaryData<T>, handle: () => Promise<T>): void {
+  handle().then(
     (res) => {
       cb(null, res);
     },
