--- a/src/sidecar/records/RemoteRecordPeer.ts
+++ b/src/sidecar/records/RemoteRecordPeer.ts
@@ -7,10 +7,10 @@
 import { recordWire } from "./recordWire.ts";
 import type { RunRecord } from "./RunRecord.ts";
 
-/** A record call slower than this counts as unanswered, ms. A sync takes about 2 ms, a zone hop 1.5. */
+/** Timeout of a record call, ms. A disk sync takes about 2 ms, a hop between zones 1.5 ms. */
 const RECORD_TIMEOUT_MS = 400;
 
-/** A peer that keeps records, over gRPC. */
+/** The records of a peer, accessed over gRPC. */
 export class RemoteRecordPeer implements RecordPeer {
   readonly id: string;
   readonly #client: RenewedClient<PeerClient>;
@@ -22,8 +22,8 @@
     this.#clock = clock;
   }
 
-  async claim(key: string, wanted: RunRecord): Promise<ClaimReply> {
-    const req = { key, record: recordWire.encode(wanted, this.#clock.now()) };
+  async claim(key: string, record: RunRecord): Promise<ClaimReply> {
+    const req = { key, record: recordWire.encode(record, this.#clock.now()) };
     const res = await this.#client.call((client) =>
       callUnary(client.Claim.bind(client), req, RECORD_TIMEOUT_MS),
     );
@@ -33,9 +33,9 @@
   }
 
   async settle(key: string, attempt: string, record: RunRecord | undefined): Promise<void> {
-    const sent = record ? recordWire.encode(record, this.#clock.now()) : null;
+    const encoded = record ? recordWire.encode(record, this.#clock.now()) : null;
     await this.#client.call((client) =>
-      callUnary(client.Settle.bind(client), { key, attempt, record: sent }, RECORD_TIMEOUT_MS),
+      callUnary(client.Settle.bind(client), { key, attempt, record: encoded }, RECORD_TIMEOUT_MS),
     );
   }
 }
