--- a/src/sidecar/records/RunRecord.ts
+++ b/src/sidecar/records/RunRecord.ts
@@ -1,26 +1,26 @@
-/** A target's whole answer, as it is kept for a resend. */
-interface StoredAnswer {
+/** A target's complete response, stored to be replayed to a resend. */
+interface StoredResponse {
   readonly status: number;
   readonly headers: Readonly<Record<string, string>>;
-  /** Base64, so it fits in JSON. */
+  /** Base64, as records are stored as JSON. */
   readonly body: string;
 }
 
 /**
- * What a replica knows of one non-idempotent request, by its idempotency key.
+ * A replica's record of a non-idempotent request, stored under its idempotency key.
  *
- * - `claimed`: an attempt may be running it now, until its deadline
- * - `done`: it ran, and this was the answer
+ * - `claimed`: an attempt may be running it, until its deadline
+ * - `done`: it ran, and `answer` is the response
  * - `unknown`: it may have run; it must never be run again
  */
 export type RunRecord = {
-  /** Names the attempt that claimed it; only that attempt may settle it. */
+  /** The attempt that claimed the key; only this attempt may settle it. */
   readonly attempt: string;
-  /** Digest of method, path and body: one key must not stand for two requests. */
+  /** Digest of method, path and body: one key must not be used for two requests. */
   readonly fingerprint: string;
-  /** When the attempt has ended, by the holder's steady clock, ms. */
+  /** Deadline of the attempt on the record holder's monotonic clock, ms. */
   readonly deadlineAt: number;
 } & (
   | { readonly state: "claimed" | "unknown" }
-  | { readonly state: "done"; readonly answer: StoredAnswer }
+  | { readonly state: "done"; readonly answer: StoredResponse }
 );
