--- a/src/sidecar/records/RunRecords.test.ts
+++ b/src/sidecar/records/RunRecords.test.ts
@@ -19,15 +19,15 @@
   answer: { status: 200, headers: {}, body: "" },
 });
 
-const setup = () => {
+const setUp = () => {
   const path = join(mkdtempSync(join(tmpdir(), "bp-records-")), "records.jsonl");
   const clock = { now: 0 };
   const reopen = () => new RunRecords(new SyncedJournal(path), () => clock.now);
   return { path, clock, reopen };
 };
 
-test("a claim and an answer survive a kill of the process", async (t) => {
-  const { reopen } = setup();
+test("run records: claims, outcomes and releases survive a crash of the process", async (t) => {
+  const { reopen } = setUp();
   const before = reopen();
   await before.claim("a", claimed("1"));
   await before.claim("b", claimed("2"));
@@ -40,10 +40,10 @@
   t.deepEqual(await after.claim("c", claimed("9")), { kind: "granted" });
 });
 
-test("a line torn by a crash is dropped, the ones before it hold", async (t) => {
-  // Story: power fails while a claim is being written. Its sync never came
-  // back, so nothing ran on it; the journal must still open.
-  const { path, reopen } = setup();
+test("run records: a journal line truncated by a crash is dropped, and earlier lines are kept", async (t) => {
+  // The power fails while a claim is being written. The claim was never acknowledged, so no request
+  // ran on account of it, and the journal must still open.
+  const { path, reopen } = setUp();
   await reopen().claim("a", claimed("1"));
   appendFileSync(path, '{"key":"b","at":0,"rec');
   const after = reopen();
@@ -52,8 +52,8 @@
   t.is(readFileSync(path, "utf8").trim().split("\n").length, 1);
 });
 
-test("a lost disk leaves an empty journal that works", async (t) => {
-  const { path, reopen } = setup();
+test("run records: claims are accepted after the journal file was lost", async (t) => {
+  const { path, reopen } = setUp();
   await reopen().claim("a", claimed("1"));
   rmSync(path);
   const after = reopen();
@@ -61,16 +61,16 @@
   t.is((await after.claim("a", claimed("2"))).kind, "granted");
 });
 
-test("only the attempt that claimed a key settles it", async (t) => {
-  const { reopen } = setup();
+test("run records: an attempt cannot settle a key that another one has claimed", async (t) => {
+  const { reopen } = setUp();
   const records = reopen();
   await records.claim("a", claimed("1"));
   await records.settle("a", "2", undefined);
   t.is((await records.claim("a", claimed("3"))).kind, "held");
 });
 
-test("a copy from another replica never takes knowledge back", async (t) => {
-  const { reopen } = setup();
+test("run records: a copy from another replica does not replace an outcome by a claim", async (t) => {
+  const { reopen } = setUp();
   const records = reopen();
   await records.adopt("a", claimed("1"));
   await records.adopt("a", done("1"));
@@ -78,8 +78,8 @@
   t.deepEqual(await records.claim("a", claimed("9")), { kind: "held", record: done("1") });
 });
 
-test("records past their retention are dropped", async (t) => {
-  const { clock, reopen } = setup();
+test("run records: records older than the retention period are dropped", async (t) => {
+  const { clock, reopen } = setUp();
   const records = reopen();
   await records.claim("a", claimed("1"));
   clock.now = 3_600_000;
--- a/src/sidecar/records/RunRecords.ts
+++ b/src/sidecar/records/RunRecords.ts
@@ -3,94 +3,94 @@
 import type { RunRecord } from "./RunRecord.ts";
 import type { SyncedJournal } from "./SyncedJournal.ts";
 
-/** One line of the journal; without a record, the key was released. */
+/** One line of the journal. Without a record, the key was released. */
 interface JournalEntry {
   readonly key: string;
-  /** When it was written, by the steady clock of the process that wrote it, ms. */
+  /** When it was written, on the monotonic clock of the process that wrote it, ms. */
   readonly at: number;
   readonly record?: RunRecord;
 }
 
-interface Held {
+interface HeldRecord {
   readonly at: number;
   readonly record: RunRecord;
 }
 
-/** How long a record is kept after its last change, ms: resends come within minutes. */
+/** How long a record is kept after its last change, ms. Resends arrive within minutes. */
 const RETENTION_MS = 3_600_000;
 
-/** The journal is rewritten when it has this many lines more than live records. */
-const COMPACT_AFTER = 10_000;
+/** The journal is rewritten when it has more than this many lines that are no longer needed. */
+const MAX_STALE_LINES = 10_000;
 
 /**
- * One replica's records of non-idempotent requests. With a journal (a VM with
+ * One replica's records of non-idempotent requests. With a journal (on a VM with
  * a disk) each change is synced before it is acknowledged, so it survives a
- * kill and a power loss; without one, the other replicas' copies must do.
+ * crash and a power loss. Without one, only the other replicas' copies survive.
  */
 export class RunRecords implements IDisposable {
   readonly #journal: SyncedJournal<JournalEntry> | undefined;
   readonly #now: () => number;
-  readonly #held = new Map<string, Held>();
-  #stale = 0;
+  readonly #held = new Map<string, HeldRecord>();
+  #staleLines = 0;
 
-  /** `now` is the steady clock, ms. */
+  /** @param now reads the monotonic clock, ms */
   constructor(journal: SyncedJournal<JournalEntry> | undefined, now: () => number) {
     this.#journal = journal;
     this.#now = now;
     for (const entry of journal?.read() ?? []) {
-      this.#apply(rebase(entry, now()));
+      this.#apply(toCurrentClock(entry, now()));
     }
     this.#compact();
   }
 
-  /** Records kept now. */
+  /** Number of records. */
   get size(): number {
     return this.#held.size;
   }
 
-  /** Claims `key` for an attempt, unless another attempt has been there. */
-  async claim(key: string, wanted: RunRecord): Promise<ClaimReply> {
+  /** Claims `key` for the attempt in `claimRecord`, unless there is a record of another attempt. */
+  async claim(key: string, claimRecord: RunRecord): Promise<ClaimReply> {
     const held = this.#held.get(key);
-    if (held && held.record.attempt !== wanted.attempt) {
+    if (held && held.record.attempt !== claimRecord.attempt) {
       return { kind: "held", record: held.record };
     }
-    await this.#write({ key, at: this.#now(), record: wanted });
+    await this.#persist({ key, at: this.#now(), record: claimRecord });
     return { kind: "granted" };
   }
 
-  /** Records how an attempt ended; `undefined` releases the key, since it did not run. */
+  /** Stores the outcome of an attempt; `undefined` means that it did not run, and releases the key. */
   async settle(key: string, attempt: string, record: RunRecord | undefined): Promise<void> {
     const held = this.#held.get(key);
     if (held && held.record.attempt !== attempt) {
-      // Another attempt holds it here; its record says more about the key than ours.
+      // Another attempt holds the key here, and its record is the more informative one.
       return;
     }
-    await this.#write({ key, at: this.#now(), record });
+    await this.#persist({ key, at: this.#now(), record });
   }
 
-  /** Takes over a copy from another replica, unless it is older news than what is here. */
+  /** Stores a copy from another replica, if there is no record here yet or only a claim that the copy settles. */
   async adopt(key: string, record: RunRecord): Promise<void> {
     const held = this.#held.get(key);
     if (!held || (held.record.state === "claimed" && record.state !== "claimed")) {
-      await this.#write({ key, at: this.#now(), record });
+      await this.#persist({ key, at: this.#now(), record });
     }
   }
 
-  /** Every record, for handing over to new replicas. */
+  /** All records, for the handover to new replicas. */
   entries(): { key: string; record: RunRecord }[] {
     return [...this.#held].map(([key, { record }]) => ({ key, record }));
   }
 
-  /** Drops records past {@link RETENTION_MS}; call now and then. */
+  /** Drops records older than {@link RETENTION_MS}. Must be called periodically. */
   expire(): void {
     const cutoff = this.#now() - RETENTION_MS;
     for (const [key, { at }] of this.#held) {
       if (at < cutoff) {
         this.#held.delete(key);
-        this.#stale += 1;
+        this.#staleLines += 1;
       }
     }
-    if (this.#stale > COMPACT_AFTER) {
+    if (this.#staleLines > MAX_STALE_LINES) {
       this.#compact();
     }
   }
@@ -99,40 +99,41 @@
     await this.#journal?.dispose();
   }
 
-  async #write(entry: JournalEntry): Promise<void> {
-    // In memory first: a second claim that comes during the sync must see this one.
+  async #persist(entry: JournalEntry): Promise<void> {
+    // In memory first: a second claim that arrives during the sync must find this one.
     this.#apply(entry);
     await this.#journal?.append(entry);
   }
 
   #apply(entry: JournalEntry): void {
     if (this.#held.has(entry.key)) {
-      this.#stale += 1;
+      this.#staleLines += 1;
     }
     if (entry.record) {
       this.#held.set(entry.key, { at: entry.at, record: entry.record });
     } else {
       this.#held.delete(entry.key);
-      this.#stale += 1;
+      this.#staleLines += 1;
     }
   }
 
   #compact(): void {
-    this.#stale = 0;
+    this.#staleLines = 0;
     this.#journal?.rewrite([...this.#held].map(([key, held]) => ({ key, ...held })));
   }
 }
 
 /**
- * An entry of an earlier life of the process, in this one's time. How long the process
- * was down cannot be told (the time of day may have jumped), so all the time that an
- * attempt had left counts as left still: a claim is believed for too long, never too short.
+ * Converts the times of an entry written by an earlier incarnation to this one's monotonic
+ * clock. How long the process was down is unknown, as the wall clock may have been changed,
+ * so an attempt keeps all the time that it had left: its claim may hold too long, but never
+ * too short.
  */
-function rebase(entry: JournalEntry, now: number): JournalEntry {
+function toCurrentClock(entry: JournalEntry, now: number): JournalEntry {
   const { record } = entry;
   if (!record) {
     return { ...entry, at: now };
   }
-  const leftMs = Math.max(0, record.deadlineAt - entry.at);
-  return { ...entry, at: now, record: { ...record, deadlineAt: now + leftMs } };
+  const remainingMs = Math.max(0, record.deadlineAt - entry.at);
+  return { ...entry, at: now, record: { ...record, deadlineAt: now + remainingMs } };
 }
