--- a/src/sidecar/records/SyncedJournal.ts
+++ b/src/sidecar/records/SyncedJournal.ts
@@ -6,13 +6,13 @@
 
 /**
  * An append-only file of JSON lines. {@link append} resolves once its line is
- * synced to disk; lines that come while a sync is under way share the next one
- * (group commit), so the disk's sync time does not bound the rate.
+ * synced to disk. Lines appended during a sync share the next one (group commit),
+ * so the duration of a sync does not limit the rate of appends.
  */
 export class SyncedJournal<T> implements IDisposable {
   readonly #path: string;
   #file: Promise<FileHandle> | undefined;
-  #waiting: { line: string; resolve: () => void; reject: (err: unknown) => void }[] = [];
+  #pending: { line: string; resolve: () => void; reject: (err: unknown) => void }[] = [];
   #flushing = false;
 
   constructor(path: string) {
@@ -20,34 +20,34 @@
     mkdirSync(dirname(path), { recursive: true });
   }
 
-  /** Every whole line in the file, oldest first; a torn last line (a crash mid-write) is dropped. */
+  /** All complete lines of the file, oldest first. A last line truncated by a crash is dropped. */
   read(): T[] {
     let text: string;
     try {
       text = readFileSync(this.#path, "utf8");
     } catch {
-      return []; // No file yet, or a lost disk: the other replicas' records still hold.
+      return []; // There is no file yet, or the disk was lost: the other replicas still have their records.
     }
     const entries: T[] = [];
     for (const line of text.split("\n")) {
       try {
         entries.push(JSON.parse(line) as T);
       } catch {
-        // Torn by a crash before its sync, so never acknowledged to anyone.
+        // Truncated by a crash before its sync, so it was never acknowledged.
       }
     }
     return entries;
   }
 
-  /** Replaces the file by `entries`, atomically: drops what has been superseded or has expired. */
+  /** Replaces the file atomically by one with `entries`, to drop superseded and expired ones. */
   rewrite(entries: readonly T[]): void {
     writeFileSynced(this.#path, entries.map((e) => JSON.stringify(e) + "\n").join(""));
   }
 
-  /** Appends one entry; resolves once it is synced, rejects when the disk refuses it. */
+  /** Appends one entry; resolves once it is synced to disk, rejects if the write or the sync fails. */
   append(entry: T): Promise<void> {
     return new Promise<void>((resolve, reject) => {
-      this.#waiting.push({ line: JSON.stringify(entry) + "\n", resolve, reject });
+      this.#pending.push({ line: JSON.stringify(entry) + "\n", resolve, reject });
       if (!this.#flushing) {
         void this.#flush();
       }
@@ -61,21 +61,21 @@
 
   async #flush(): Promise<void> {
     this.#flushing = true;
-    while (this.#waiting.length > 0) {
-      const batch = this.#waiting;
-      this.#waiting = [];
+    while (this.#pending.length > 0) {
+      const batch = this.#pending;
+      this.#pending = [];
       try {
         this.#file ??= open(this.#path, "a");
         const file = await this.#file;
-        await file.write(batch.map((w) => w.line).join(""));
+        await file.write(batch.map((write) => write.line).join(""));
         await file.datasync();
-        batch.forEach((w) => {
-          w.resolve();
+        batch.forEach((write) => {
+          write.resolve();
         });
       } catch (err) {
         this.#file = undefined;
-        batch.forEach((w) => {
-          w.reject(err);
+        batch.forEach((write) => {
+          write.reject(err);
         });
       }
     }
