--- a/src/sidecar/records/adoptAt.ts
+++ b/src/sidecar/records/adoptAt.ts
@@ -4,21 +4,21 @@
 import { recordWire } from "./recordWire.ts";
 import type { RunRecord } from "./RunRecord.ts";
 
-/** A handover slower than this is tried again later, ms. */
+/** Timeout of a handover call, ms; the handover is retried later. */
 const ADOPT_TIMEOUT_MS = 2000;
 
-/** Records per call: well below gRPC's 4 MB a message, at 64 KB an answer at the most. */
-const BATCH = 50;
+/** Maximum number of records per call: with at most 64 KB per response, well below gRPC's 4 MB per message. */
+const MAX_BATCH = 50;
 
-/** Copies records to a peer, as they stand at `now` by the steady clock; rejects when it cannot take them. */
+/** Sends copies of records to a peer, with deadlines relative to `now` on the monotonic clock, ms; rejects if a call fails. */
 export async function adoptAt(
   client: RenewedClient<PeerClient>,
   records: readonly { key: string; record: RunRecord }[],
   now: number,
 ): Promise<void> {
-  for (let from = 0; from < records.length; from += BATCH) {
+  for (let start = 0; start < records.length; start += MAX_BATCH) {
     const batch = records
-      .slice(from, from + BATCH)
+      .slice(start, start + MAX_BATCH)
       .map(({ key, record }) => ({ key, record: recordWire.encode(record, now) }));
     await client.call((c) => callUnary(c.Adopt.bind(c), { records: batch }, ADOPT_TIMEOUT_MS));
   }
