--- a/src/sidecar/records/flattenHeaders.ts
+++ b/src/sidecar/records/flattenHeaders.ts
@@ -1,4 +1,4 @@
-/** Headers with one value each, several joined by commas (RFC 9110 §5.3); absent ones left out. */
+/** Returns headers with a single value each: multiple values are joined by commas (RFC 9110 §5.3), undefined ones omitted. */
 export function flattenHeaders(
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string> {
