--- a/src/sidecar/records/idempotencyKeyOf.ts
+++ b/src/sidecar/records/idempotencyKeyOf.ts
@@ -1,10 +1,10 @@
 import type { HeaderList } from "../forwarding/HeaderList.ts";
 
-/** The `Idempotency-Key` of a request; undefined when it has none. */
+/** The `Idempotency-Key` of a request; undefined if it is missing or empty. */
 export function idempotencyKeyOf(headers: HeaderList): string | undefined {
-  const at = headers.findIndex(
+  const index = headers.findIndex(
     (part, i) => i % 2 === 0 && part.toLowerCase() === "idempotency-key",
   );
-  const key = at < 0 ? undefined : headers[at + 1];
+  const key = index < 0 ? undefined : headers[index + 1];
   return key === "" ? undefined : key;
 }
