--- a/src/sidecar/records/recordWire.ts
+++ b/src/sidecar/records/recordWire.ts
@@ -1,7 +1,7 @@
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import type { RunRecord } from "./RunRecord.ts";
 
-/** {@link RunRecord} to and from its protobuf form, at `now` by the steady clock. */
+/** Converts a {@link RunRecord} to and from its protobuf message; `now` is the monotonic clock, ms. */
 export const recordWire = {
   encode(record: RunRecord, now: number): ProtoTypes["Record"] {
     const answer = record.state === "done" ? record.answer : undefined;
@@ -31,7 +31,7 @@
         return { state: "done", attempt, fingerprint, deadlineAt, answer };
       }
       default:
-        // A state of a newer version of ours: the cautious reading is that it may have run.
+        // A state added by a newer version: the safe interpretation is that the request may have run.
         return { state: "unknown", attempt, fingerprint, deadlineAt };
     }
   },
