--- a/src/sidecar/records/chooseRecordGroup.test.ts
+++ b/src/sidecar/records/chooseRecordGroup.test.ts
@@ -6,7 +6,7 @@
 const pool = (count: number, zones: number) =>
   Array.from({ length: count }, (_, n) => ({ id: `s${n}`, zone: `zone-${n % zones}` }));
 
-test("a group spreads over zones: losing one zone of three takes at most two of five", (t) => {
+test("record group: at most two of five replicas are in the same of three zones", (t) => {
   for (let n = 0; n < 200; n++) {
     const group = chooseRecordGroup(`key-${n}`, pool(12, 3));
     t.is(group.length, 5);
@@ -16,7 +16,7 @@
   }
 });
 
-test("one member more changes a group by at most one, and quorums from both views meet", (t) => {
+test("record group: a new member replaces at most one replica, and quorums from both views intersect", (t) => {
   fc.assert(
     fc.property(
       fc.string(),
@@ -27,8 +27,8 @@
         const after = chooseRecordGroup(key, pool(count + 1, zones)).map((m) => m.id);
         const lost = before.filter((id) => !after.includes(id)).length;
         const union = new Set([...before, ...after]).size;
-        const meet = claimQuorum(before.length) + claimQuorum(after.length) > union;
-        return lost <= 1 && meet;
+        const intersect = claimQuorum(before.length) + claimQuorum(after.length) > union;
+        return lost <= 1 && intersect;
       },
     ),
     { numRuns: 2000, seed: 3 },
--- a/src/sidecar/records/chooseRecordGroup.ts
+++ b/src/sidecar/records/chooseRecordGroup.ts
@@ -1,34 +1,34 @@
 import { createHash } from "node:crypto";
 
-/** A sidecar that may keep records. */
+/** A sidecar that may hold records. */
 interface Replica {
   readonly id: string;
   readonly zone: string;
 }
 
-/** Replicas that keep each record. */
+/** Number of replicas that hold each record. */
 const GROUP_SIZE = 5;
 
 /**
- * The sidecars that keep the record of `key`: highest random weights first
+ * Chooses the sidecars that hold the record of `key`, by highest random weight
  * (rendezvous hashing, Thaler and Ravishankar, "Using Name-Based Mappings to
- * Increase Hit Rates", 1998), taken from one zone after the other, so that
- * losing a zone takes at most two of five where there are three zones or more.
- * Every sidecar with the same members in view finds the same group, and one
- * member more or less changes it by at most one.
+ * Increase Hit Rates", 1998) and from each availability zone in turn, so that
+ * with three zones or more the loss of a zone affects at most two of the five.
+ * Sidecars with the same view of the members choose the same group, and adding
+ * or removing one member changes a group by at most one.
  */
 export function chooseRecordGroup<T extends Replica>(key: string, pool: readonly T[]): T[] {
   const keyHash = hash32(key);
   const zones = new Map<string, Ranked<T>[]>();
   for (const replica of pool) {
-    const best = zones.get(replica.zone) ?? [];
-    zones.set(replica.zone, best);
-    insert(best, { replica, weight: mix(keyHash ^ idHash(replica.id)) });
+    const ranked = zones.get(replica.zone) ?? [];
+    zones.set(replica.zone, ranked);
+    insertRanked(ranked, { replica, weight: mix(keyHash ^ idHash(replica.id)) });
   }
   const group: Ranked<T>[] = [];
   for (let round = 0; round < GROUP_SIZE; round++) {
-    const nextOfEach = [...zones.values()].flatMap((best) => best[round] ?? []);
-    group.push(...nextOfEach.sort(byWeight));
+    const nextPerZone = [...zones.values()].flatMap((ranked) => ranked[round] ?? []);
+    group.push(...nextPerZone.sort(byWeight));
   }
   return group.slice(0, GROUP_SIZE).map((r) => r.replica);
 }
@@ -42,21 +42,21 @@
   return b.weight - a.weight || (a.replica.id < b.replica.id ? -1 : 1);
 }
 
-/** Keeps `best` the highest {@link GROUP_SIZE}, in order. */
-function insert<T extends Replica>(best: Ranked<T>[], candidate: Ranked<T>): void {
-  const last = best[GROUP_SIZE - 1];
+/** Inserts a candidate into `ranked`, which keeps the {@link GROUP_SIZE} highest weights in order. */
+function insertRanked<T extends Replica>(ranked: Ranked<T>[], candidate: Ranked<T>): void {
+  const last = ranked[GROUP_SIZE - 1];
   if (last && byWeight(last, candidate) < 0) {
     return;
   }
-  const at = best.findIndex((r) => byWeight(candidate, r) < 0);
-  best.splice(at < 0 ? best.length : at, 0, candidate);
-  best.length = Math.min(best.length, GROUP_SIZE);
+  const index = ranked.findIndex((r) => byWeight(candidate, r) < 0);
+  ranked.splice(index < 0 ? ranked.length : index, 0, candidate);
+  ranked.length = Math.min(ranked.length, GROUP_SIZE);
 }
 
-/** Hashes of ids seen, so that ranking thousands of members per request costs no SHA-256 each. */
+/** Hashes of member ids, so that ranking thousands of members per request needs no SHA-256 for each. */
 const idHashes = new Map<string, number>();
 
-/** Ids remembered before the cache starts over: several fleets of the two-year size. */
+/** Maximum number of cached ids before the cache is cleared: several fleets of the two-year size. */
 const MAX_ID_HASHES = 50_000;
 
 function idHash(id: string): number {
@@ -75,7 +75,7 @@
   return createHash("sha256").update(text).digest().readUInt32BE(0);
 }
 
-/** The finalizer of MurmurHash3 (Appleby): spreads each bit of the input over all 32 of the output. */
+/** The finalizer of MurmurHash3 (Appleby): every input bit affects all 32 output bits. */
 function mix(input: number): number {
   let h = input;
   h = Math.imul(h ^ (h >>> 16), 0x85ebca6b);
