--- a/src/sidecar/dialect/Dialect.ts
+++ b/src/sidecar/dialect/Dialect.ts
@@ -3,49 +3,53 @@
 import type { ServiceName } from "../../common/ids/ServiceName.ts";
 import type { TargetId } from "../../common/ids/TargetId.ts";
 
-/** What a caller says of its request besides the request itself. */
+/** Metadata that a caller sends with its request. */
 export interface CallerMetadata {
   readonly attempt: AttemptId;
-  /** How long the caller will wait, ms; undefined when it does not say. */
+  /** Time that the caller will wait for the response, ms; undefined if it is not specified. */
   readonly remainingMs: number | undefined;
 }
 
-/** What a target is told of a request besides the request itself. */
+/** Metadata that a target gets with a request. */
 export interface TargetMetadata {
   readonly attempt: AttemptId;
-  /** Time left for the answer, ms. */
+  /** Time left until the deadline of the response, ms. */
   readonly remainingMs: number;
-  /** The target that is meant; another one at its address must not run it. */
+  /** The target that the request is for; another one at the same address must not run it. */
   readonly target: TargetId;
-  /** The service beside which the request began; empty when unknown. */
+  /** The service whose sidecar received the request from the caller; empty if unknown. */
   readonly callerService: ServiceName | "";
-  /** The header in which targets of the service echo the id they are sent, if they do. */
+  /** Header for the attempt id, which targets of the service echo in the response; undefined if they do not. */
   readonly echoHeader: string | undefined;
 }
 
-/** What the head of an answer says about whose it is and whether the request ran. */
+/** What the head of a response says: whether it belongs to this request, and whether the request ran. */
 export type ResponseHead =
   | { readonly kind: "own" }
-  /** The target says that it did not run the request; another target may be at the address. */
+  /** The target did not run the request. `otherTarget` is set if another target is at the address. */
   | {
       readonly kind: "not-run";
       readonly retryAfterMs: number | undefined;
       readonly otherTarget: TargetId | undefined;
     }
-  /** Not the answer to this request: whose it is cannot be told, and nobody gets it. */
+  /** Not the response to this request. It is discarded, since the request that it belongs to is unknown. */
   | { readonly kind: "foreign"; readonly reason: string };
 
 /**
- * How callers and targets put in headers what HTTP itself has no words for. The
- * sidecar decides by what is said here, never by a header's name.
+ * Converts between the headers that callers and targets use and metadata for which HTTP has no
+ * standard fields. The sidecar decides by this metadata and never by the name of a header.
  */
 export interface Dialect {
-  /** Reads what a caller says; a text tells it what is wrong with its request. */
+  /** Reads the metadata of a caller's request; returns an error message for the caller if a header is invalid. */
   readCaller(headers: IncomingHttpHeaders): CallerMetadata | string;
-  /** Headers for the target; they replace any that the caller sent under these names. */
-  writeTarget(words: TargetMetadata): Record<string, string>;
-  /** Reads the head of a target's answer to what {@link writeTarget} said. */
-  readResponse(words: TargetMetadata, status: number, headers: IncomingHttpHeaders): ResponseHead;
-  /** The `Retry-After` that says to come back after `ms`. */
+  /** Headers for the target, which replace headers of the same names from the caller. */
+  writeTarget(metadata: TargetMetadata): Record<string, string>;
+  /** Reads the head of a target's response to a request sent with the headers from {@link writeTarget}. */
+  readResponse(
+    metadata: TargetMetadata,
+    status: number,
+    headers: IncomingHttpHeaders,
+  ): ResponseHead;
+  /** The value of `Retry-After` for a delay of `ms`. */
   writeRetryAfter(ms: number): string;
 }
