--- a/src/sidecar/detection/GrayFailureDetector.ts
+++ b/src/sidecar/detection/GrayFailureDetector.ts
@@ -96,8 +96,8 @@
 }
 
 /**
- * Detects gray failures of the sidecar's co-located target from the outcomes of all its
- * requests, whoever sent them: the probability that it is gray, and how its response times
+ * Detects gray (partial) failures of the sidecar's co-located target from the outcomes of all
+ * its requests, from any sidecar: the probability that it is gray, and how its response times
  * compare with those of its service. One failure makes it suspect, and requests that cannot
  * be retried go to other targets; from the document's threshold on it is ejected, and all
  * requests do. It is readmitted on evidence, not after a fixed time: retryable requests
@@ -116,6 +116,7 @@
   #suspected = false;
   #pace = 1;
   #paceUpdatedAt = 0;
+  /** Time without new evidence after which the target is tried again, ms; doubles with repeated ejections. */
   #silenceTimeoutMs: number;
   #lastEvidenceAt: number;
   #ejected = false;
