--- a/src/sidecar/detection/GrayFailureDetector.ts
+++ b/src/sidecar/detection/GrayFailureDetector.ts
@@ -31,7 +31,7 @@
  */
 const OVERLAPPED_FAILURE_WEIGHT = 0.5;
 
-/** A timeout after less than this many times the typical duration is no evidence: the request could not have finished. */
+/** A timeout after less than this many times the typical duration is no evidence: the request had too little time. */
 const MIN_TIMEOUT_RATIO = 1.5;
 
 /**
