--- a/src/sidecar/hop/GateLoad.ts
+++ b/src/sidecar/hop/GateLoad.ts
@@ -1,23 +1,23 @@
-/** How busy a target is, and what is thought of it, as the sidecar beside it knows. */
+/** Load and health of a target, as reported by its co-located sidecar. */
 export interface GateLoad {
-  /** Requests that it can work on at once. */
+  /** Number of requests that the target can process concurrently. */
   readonly slots: number;
-  /** Slots in use or granted. */
+  /** Number of slots in use or granted. */
   readonly busy: number;
-  /** Asks waiting for a slot. */
+  /** Number of slot requests waiting in the admission queue. */
   readonly queued: number;
-  /** How long a slot is in use for one request, on average, ms. */
+  /** Mean time for which one request uses a slot, ms. */
   readonly serviceMs: number;
-  /** How its answers' times compare with those of its service: 1 is usual, 2 twice as long. */
+  /** Response time of the target relative to its service: 1 is normal, 2 is twice as long. */
   readonly pace: number;
-  /** Chance that it fails what it is given now; see HealthDetector. */
+  /** Probability that the target fails a request that it is sent now, 0 to 1; see HealthDetector. */
   readonly risk: number;
-  /** Under suspicion: not for requests that have no other try, while there is another target. */
+  /** The target is suspect: requests without a remaining retry avoid it while the service has another target. */
   readonly suspect: boolean;
-  /** All work had better go elsewhere. */
+  /** The target is ejected: all requests should go to other targets. */
   readonly ejected: boolean;
-  /** In how long a request that has another try left would tell whether it is well, ms; left out where that is known. */
+  /** Time until a retryable request can probe the target's health, ms; undefined if its health is known. */
   readonly probeInMs?: number;
-  /** In how long the sidecar beside it ends, ms; left out where that is not being stopped. */
+  /** Time until the target's sidecar exits, ms; undefined unless the sidecar is being stopped. */
   readonly endsInMs?: number;
 }
--- a/src/sidecar/hop/GateMessages.ts
+++ b/src/sidecar/hop/GateMessages.ts
@@ -8,22 +8,25 @@
 
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** For whom messages between sidecars are. */
+/** Receivers of the gate messages from other sidecars. */
 interface GateMessagesDeps {
-  /** Who asks gates elsewhere for slots. */
+  /** Requests slots from the gates of other sidecars. */
   readonly slotClient: Pick<SlotClient, "receive">;
-  /** The gates here. */
+  /** Receives slot requests for the gates of this sidecar. */
   readonly gates: { receive(message: GateMessage, from: string): void };
-  /** Who chooses targets, and hears how they are thought of. */
+  /** Chooses targets by their load and health. */
   readonly policy: { noteLoad(target: TargetId, load: GateLoad): void };
-  /** Who borrows leave for retries, and who lends it. */
+  /** Borrows retry tokens from other sidecars. */
   readonly tokenClient: Pick<RetryTokenClient, "receive">;
+  /** Lends retry tokens to other sidecars. */
   readonly budgets: { lend(costs: readonly RetryCost[]): boolean };
-  /** Sends a message that may be lost. */
+  /** Sends a datagram, which may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
 }
 
-/** Hands what other sidecars say of slots, targets and retries to whom it is for. */
+/**
+ * Dispatches gate messages from other sidecars: slot requests and replies, load updates, and requests for retry tokens.
+ */
 export class GateMessages {
   readonly #deps: GateMessagesDeps;
 
@@ -31,16 +34,17 @@
     this.#deps = deps;
   }
 
+  /** Passes a message to its receiver; a request for retry tokens is replied to directly. */
   take(message: GateMessage, from: string): void {
     const { slotClient, gates, policy, tokenClient, budgets, tell } = this.#deps;
-    const news = gateWire.readNews(message);
-    const costs = gateWire.readLoanAsk(message);
+    const update = gateWire.readNews(message);
+    const costs = gateWire.readRetryTokenRequest(message);
     if (costs) {
-      tell(from, gateWire.loan(message.ask_id, budgets.lend(costs)));
+      tell(from, gateWire.retryTokenReply(message.ask_id, budgets.lend(costs)));
     } else if (message.loan) {
       tokenClient.receive(message);
-    } else if (news) {
-      policy.noteLoad(news.target, news.load);
+    } else if (update) {
+      policy.noteLoad(update.target, update.load);
     } else if (message.ask || message.withdrawn) {
       gates.receive(message, from);
     } else {
--- a/src/sidecar/hop/RetryTokenClient.test.ts
+++ b/src/sidecar/hop/RetryTokenClient.test.ts
@@ -9,37 +9,37 @@
   { service: "results", n: 0.724 },
 ];
 
-function rig() {
+function setUp() {
   const clock = new FakeClock();
-  const told: ProtoTypes["GateMessage"][] = [];
-  const client = new RetryTokenClient({ tell: (_address, message) => told.push(message), clock });
-  return { clock, told, client };
+  const sent: ProtoTypes["GateMessage"][] = [];
+  const client = new RetryTokenClient({ tell: (_address, message) => sent.push(message), clock });
+  return { clock, sent, client };
 }
 
-for (const isGiven of [true, false]) {
-  test(`loans: one that is ${isGiven ? "given" : "refused"} is told`, async (t) => {
-    const { told, client } = rig();
-    const asked = client.ask("10.0.0.1:7000", costs);
-    client.receive(gateWire.loan(told[0]?.ask_id ?? 0, isGiven));
-    t.is(await asked, isGiven);
+for (const isGranted of [true, false]) {
+  test(`retry tokens: the client learns that its request was ${isGranted ? "granted" : "refused"}`, async (t) => {
+    const { sent, client } = setUp();
+    const granted = client.ask("10.0.0.1:7000", costs);
+    client.receive(gateWire.retryTokenReply(sent[0]?.ask_id ?? 0, isGranted));
+    t.is(await granted, isGranted);
   });
 }
 
-test("loans: without an answer there is none, and one that comes late changes nothing", async (t) => {
-  const { clock, told, client } = rig();
-  const asked = client.ask("10.0.0.1:7000", costs);
+test("retry tokens: without a reply none are granted, and a late reply is ignored", async (t) => {
+  const { clock, sent, client } = setUp();
+  const granted = client.ask("10.0.0.1:7000", costs);
   await clock.advance(100);
-  t.false(await asked);
+  t.false(await granted);
   t.notThrows(() => {
-    client.receive(gateWire.loan(told[0]?.ask_id ?? 0, true));
+    client.receive(gateWire.retryTokenReply(sent[0]?.ask_id ?? 0, true));
   });
 });
 
-test("loans: what a loan is for arrives, a fraction rounded up to hundredths", (t) => {
-  const { told, client } = rig();
+test("retry tokens: the costs reach the lender, with fractions rounded up to hundredths", (t) => {
+  const { sent, client } = setUp();
   void client.ask("10.0.0.1:7000", costs);
-  const [message] = told;
-  t.deepEqual(message && gateWire.readLoanAsk(message), [
+  const [message] = sent;
+  t.deepEqual(message && gateWire.readRetryTokenRequest(message), [
     { service: "reports", n: 1 },
     { service: "results", n: 0.73 },
   ]);
--- a/src/sidecar/hop/RetryTokenClient.ts
+++ b/src/sidecar/hop/RetryTokenClient.ts
@@ -6,54 +6,60 @@
 
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** A sidecar that has not answered by then is passed over, ms: a request waits meanwhile, and there are others. */
-const SILENCE_MS = 40;
+/** Reply timeout, ms. It is short because the request to be retried waits, and other sidecars can be asked instead. */
+const REPLY_TIMEOUT_MS = 40;
 
 interface RetryTokenClientDeps {
-  /** Sends a message that may be lost. */
+  /** Sends a datagram, which may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
 }
 
-/** A loan that was asked for, and not answered yet. */
-interface OpenLoan {
-  readonly settle: (isGiven: boolean) => void;
+/** A request for retry tokens that has had no reply yet. */
+interface PendingRequest {
+  readonly settle: (isGranted: boolean) => void;
   readonly timer: Timer;
 }
 
-/** Asks other sidecars by datagrams for leave to retry; a loan whose answer is lost is spent for nothing. */
+/**
+ * Borrows retry tokens from other sidecars by datagrams. If the reply is lost, the tokens are deducted from the
+ * lender's retry budget without being used.
+ */
 export class RetryTokenClient {
   readonly #deps: RetryTokenClientDeps;
-  readonly #open = new Map<number, OpenLoan>();
+  readonly #pending = new Map<number, PendingRequest>();
   #nextId = 1;
 
   constructor(deps: RetryTokenClientDeps) {
     this.#deps = deps;
   }
 
-  /** Asks the sidecar at `address`; false where it has no room, or does not answer soon. */
+  /**
+   * Requests retry tokens from the sidecar at `address`. Resolves to false if its retry budget does not cover the
+   * costs, or if it does not reply in time.
+   */
   ask(address: string, costs: readonly RetryCost[]): Promise<boolean> {
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
     return new Promise((resolve) => {
-      const settle = (isGiven: boolean) => {
-        this.#open.get(id)?.timer.cancel();
-        this.#open.delete(id);
-        resolve(isGiven);
+      const settle = (isGranted: boolean) => {
+        this.#pending.get(id)?.timer.cancel();
+        this.#pending.delete(id);
+        resolve(isGranted);
       };
-      const timer = this.#deps.clock.after(SILENCE_MS, () => {
+      const timer = this.#deps.clock.after(REPLY_TIMEOUT_MS, () => {
         settle(false);
       });
-      this.#open.set(id, { settle, timer });
-      this.#deps.tell(address, gateWire.loanAsk(id, costs));
+      this.#pending.set(id, { settle, timer });
+      this.#deps.tell(address, gateWire.retryTokenRequest(id, costs));
     });
   }
 
-  /** Takes what a sidecar says to a loan that was asked of it. */
+  /** Handles the reply to a request for retry tokens. */
   receive(message: GateMessage): void {
     const { ask_id: id, loan } = message;
     if (loan) {
-      this.#open.get(id)?.settle(loan.given);
+      this.#pending.get(id)?.settle(loan.given);
     }
   }
 }
--- a/src/sidecar/hop/gateWire.ts
+++ b/src/sidecar/hop/gateWire.ts
@@ -12,8 +12,8 @@
 
 const REASONS = Object.values(RefusalReason);
 
-/** A message that says nothing yet. */
-const NOTHING: GateMessage = {
+/** Message with all fields unset. */
+const EMPTY_MESSAGE: GateMessage = {
   ask_id: 0,
   ask: null,
   queued: null,
@@ -24,10 +24,10 @@
   loan: null,
 };
 
-/** What gates and those who ask them say to each other, to and from datagrams. */
+/** Encodes and decodes the datagrams between gates and the sidecars that request slots or retry tokens. */
 export const gateWire = {
   ask: (id: number, request: SlotRequest): GateMessage => ({
-    ...NOTHING,
+    ...EMPTY_MESSAGE,
     ask_id: id,
     ask: {
       attempt: request.attempt,
@@ -45,15 +45,15 @@
   }),
 
   queued: (id: number, load: GateLoad): GateMessage => ({
-    ...NOTHING,
+    ...EMPTY_MESSAGE,
     ask_id: id,
     queued: encodeLoad(load),
   }),
 
-  withdrawn: (id: number): GateMessage => ({ ...NOTHING, ask_id: id, withdrawn: true }),
+  withdrawn: (id: number): GateMessage => ({ ...EMPTY_MESSAGE, ask_id: id, withdrawn: true }),
 
   reply: (id: number, reply: SlotReply): GateMessage => ({
-    ...NOTHING,
+    ...EMPTY_MESSAGE,
     ask_id: id,
     reply: {
       grant: reply.kind === "granted" ? reply.grant : "",
@@ -64,25 +64,29 @@
   }),
 
   news: (target: TargetId, load: GateLoad): GateMessage => ({
-    ...NOTHING,
+    ...EMPTY_MESSAGE,
     news: { target, load: encodeLoad(load) },
   }),
 
-  loanAsk: (id: number, costs: readonly RetryCost[]): GateMessage => ({
-    ...NOTHING,
+  retryTokenRequest: (id: number, costs: readonly RetryCost[]): GateMessage => ({
+    ...EMPTY_MESSAGE,
     ask_id: id,
     loan_ask: {
       costs: costs.map(({ service, n }) => ({ service, hundredths: Math.ceil(n * 100) })),
     },
   }),
 
-  loan: (id: number, given: boolean): GateMessage => ({ ...NOTHING, ask_id: id, loan: { given } }),
+  retryTokenReply: (id: number, given: boolean): GateMessage => ({
+    ...EMPTY_MESSAGE,
+    ask_id: id,
+    loan: { given },
+  }),
 
-  /** What a loan is asked for; undefined where none is. */
-  readLoanAsk: ({ loan_ask: asked }: GateMessage): RetryCost[] | undefined =>
-    asked?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
+  /** Costs that the requested retry tokens are to cover; undefined if it is not such a request. */
+  readRetryTokenRequest: ({ loan_ask: request }: GateMessage): RetryCost[] | undefined =>
+    request?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
 
-  /** Undefined where it is not an ask that can be answered. */
+  /** Undefined if the message is not a valid slot request. */
   readAsk: ({ ask }: GateMessage): SlotRequest | undefined =>
     ask && ask.attempt !== "" && ask.target !== "" && ask.remaining > 0
       ? {
@@ -100,11 +104,11 @@
         }
       : undefined,
 
-  /** How busy the target is at which the ask waits in line; undefined where it does not tell that. */
+  /** Load of the target in whose admission queue the request waits; undefined if the message does not report that. */
   readQueued: ({ queued }: GateMessage): GateLoad | undefined =>
     queued ? decodeLoad(queued) : undefined,
 
-  /** Undefined where it is no reply. */
+  /** Undefined if the message is not a valid reply to a slot request. */
   readReply: ({ reply }: GateMessage): SlotReply | undefined => {
     if (!reply?.load) {
       return undefined;
@@ -117,7 +121,7 @@
     return reason && { kind: "refused", reason, retryAfterMs: reply.retry_after, load };
   },
 
-  /** Undefined where it is no news. */
+  /** Undefined if the message is not a load update. */
   readNews: ({ news }: GateMessage): { target: TargetId; load: GateLoad } | undefined =>
     news?.load ? { target: TargetId(news.target), load: decodeLoad(news.load) } : undefined,
 };
@@ -133,8 +137,8 @@
     risk: Math.round(load.risk * 1000),
     suspect,
     ejected,
-    probe_in: encodeWait(load.probeInMs),
-    ends_in: encodeWait(load.endsInMs),
+    probe_in: encodeOptionalMs(load.probeInMs),
+    ends_in: encodeOptionalMs(load.endsInMs),
   };
 }
 
@@ -149,16 +153,16 @@
     risk: Math.min(1, wire.risk / 1000),
     suspect,
     ejected,
-    probeInMs: decodeWait(wire.probe_in),
-    endsInMs: decodeWait(wire.ends_in),
+    probeInMs: decodeOptionalMs(wire.probe_in),
+    endsInMs: decodeOptionalMs(wire.ends_in),
   };
 }
 
-/** A time from now on, ms, that need not be there: one more than it is, and 0 for none. */
-function encodeWait(ms: number | undefined): number {
+/** Encodes an optional duration in ms: the duration plus one, or 0 for undefined. */
+function encodeOptionalMs(ms: number | undefined): number {
   return ms === undefined ? 0 : Math.max(0, Math.round(ms)) + 1;
 }
 
-function decodeWait(wire: number): number | undefined {
+function decodeOptionalMs(wire: number): number | undefined {
   return wire > 0 ? wire - 1 : undefined;
 }
