--- a/src/sidecar/hop/PendingCall.ts
+++ b/src/sidecar/hop/PendingCall.ts
@@ -1,7 +1,7 @@
-/** Something asked of another sidecar. */
+/** A call to another sidecar that is in progress. */
 export interface PendingCall<T> {
-  /** The answer; rejects when the connection is lost, or when given up. */
+  /** Resolves with the result of the call; rejects when the connection is lost or the call is cancelled. */
   readonly answer: Promise<T>;
-  /** Ends it from this side; the other side hears of it. */
+  /** Cancels the call and notifies the other sidecar. */
   giveUp(): void;
 }
--- a/src/sidecar/hop/RefusalReason.ts
+++ b/src/sidecar/hop/RefusalReason.ts
@@ -1,13 +1,13 @@
-/** Why a slot was not granted. */
+/** Reason for which a slot request was refused. */
 export enum RefusalReason {
-  /** The wait would outlast the request. */
+  /** The wait for a slot would exceed the request's deadline, or the admission queue is full. */
   Full = "full",
-  /** The target is under suspicion; it takes the request if there is no other. */
+  /** The target is suspect; it accepts the request only if there is no better target. */
   Suspect = "suspect",
-  /** The target is leaving, or this sidecar is being stopped. */
+  /** The target is shutting down, or its sidecar is being stopped. */
   Leaving = "leaving",
-  /** The target is not here (any more). */
+  /** The target is not, or no longer, local to this sidecar. */
   NoTarget = "no-target",
-  /** The same attempt already has a slot here, or has run. */
+  /** The same attempt already holds a slot at the target, or has already run. */
   Duplicate = "duplicate",
 }
--- a/src/sidecar/hop/SlotClient.test.ts
+++ b/src/sidecar/hop/SlotClient.test.ts
@@ -9,15 +9,15 @@
 
 const GATE = "10.0.0.1:7000";
 
-/** Client that asks one gate, which a test plays. */
-function rig() {
+/** Sets up a client that sends slot requests to one gate, whose replies the test provides. */
+function setUp() {
   const clock = new FakeClock();
-  const told: ProtoTypes["GateMessage"][] = [];
-  const client = new SlotClient({ tell: (_address, message) => told.push(message), clock });
+  const sent: ProtoTypes["GateMessage"][] = [];
+  const client = new SlotClient({ tell: (_address, message) => sent.push(message), clock });
   let queued = 0;
-  const ask = () => client.requestSlot(GATE, makeSlotRequest(), () => (queued += 1));
-  const kinds = () => told.map((m) => (m.ask ? "ask" : m.withdrawn ? "withdrawn" : "other"));
-  return { clock, client, told, ask, kinds, queued: () => queued };
+  const requestSlot = () => client.requestSlot(GATE, makeSlotRequest(), () => (queued += 1));
+  const kinds = () => sent.map((m) => (m.ask ? "ask" : m.withdrawn ? "withdrawn" : "other"));
+  return { clock, client, sent, requestSlot, kinds, queued: () => queued };
 }
 
 const replies: readonly { name: string; reply: SlotReply }[] = [
@@ -26,59 +26,61 @@
 ];
 
 for (const { name, reply } of replies) {
-  test(`asks: ${name} settles the ask, and nothing is sent again`, async (t) => {
-    const { clock, client, told, ask } = rig();
-    const pending = ask();
-    client.receive(gateWire.reply(told[0]?.ask_id ?? 0, reply), GATE);
-    const answer = await pending.answer;
-    t.is(answer.kind, reply.kind);
-    t.deepEqual({ ...answer, load: {} }, { ...reply, load: {} });
+  test(`slot client: ${name} settles the request, which is not sent again`, async (t) => {
+    const { clock, client, sent, requestSlot } = setUp();
+    const pending = requestSlot();
+    client.receive(gateWire.reply(sent[0]?.ask_id ?? 0, reply), GATE);
+    const received = await pending.answer;
+    t.is(received.kind, reply.kind);
+    t.deepEqual({ ...received, load: {} }, { ...reply, load: {} });
     await clock.advance(1000);
-    t.is(told.length, 1);
+    t.is(sent.length, 1);
   });
 }
 
-test("asks: one of which nothing is heard is sent again, a few times", async (t) => {
-  // Story: the link loses one packet in ten. A request would wait for a slot that it was never asked for.
-  const { clock, told, ask, kinds } = rig();
-  ask();
+test("slot client: a request without a reply is sent again, at most twice", async (t) => {
+  // Guards against datagram loss: when the network loses one packet in ten, a caller's request would wait for a slot
+  // request that never arrived.
+  const { clock, sent, requestSlot, kinds } = setUp();
+  requestSlot();
   await clock.advance(1000);
   t.deepEqual(kinds(), ["ask", "ask", "ask"]);
-  t.is(new Set(told.map((m) => m.ask_id)).size, 1);
+  t.is(new Set(sent.map((m) => m.ask_id)).size, 1);
 });
 
-test("asks: one that is known to wait in line is not sent again", async (t) => {
-  const { clock, client, told, ask, kinds, queued } = rig();
-  ask();
-  client.receive(gateWire.queued(told[0]?.ask_id ?? 0, idleLoad), GATE);
+test("slot client: a request that is known to be queued is not sent again", async (t) => {
+  const { clock, client, sent, requestSlot, kinds, queued } = setUp();
+  requestSlot();
+  client.receive(gateWire.queued(sent[0]?.ask_id ?? 0, idleLoad), GATE);
   await clock.advance(1000);
   t.is(queued(), 1);
   t.deepEqual(kinds(), ["ask"]);
 });
 
-test("asks: one that is given up is withdrawn, once", (t) => {
-  const { ask, kinds } = rig();
-  const pending = ask();
+test("slot client: a cancelled request is withdrawn once", (t) => {
+  const { requestSlot, kinds } = setUp();
+  const pending = requestSlot();
   pending.giveUp();
   pending.giveUp();
   t.deepEqual(kinds(), ["ask", "withdrawn"]);
 });
 
-test("asks: a grant that nobody waits for any more is given back", (t) => {
-  // Story: the word that an ask is withdrawn was lost. The gate holds a slot for a request that
-  // has long been granted one elsewhere.
-  const { client, told, ask, kinds } = rig();
-  ask().giveUp();
-  client.receive(gateWire.reply(told[0]?.ask_id ?? 0, granted), GATE);
+test("slot client: a grant for a cancelled request is returned", (t) => {
+  // Guards against a lost withdrawal: the gate would hold a slot for a request that has already been granted one
+  // at another target.
+  const { client, sent, requestSlot, kinds } = setUp();
+  requestSlot().giveUp();
+  client.receive(gateWire.reply(sent[0]?.ask_id ?? 0, granted), GATE);
   t.deepEqual(kinds(), ["ask", "withdrawn", "withdrawn"]);
 });
 
-test("asks: a grant that is told again, as it is not taken yet, is not given back", async (t) => {
-  // Story: a request with a body is on its way to the target that gave it a slot. The gate tells of the grant again after
-  // 60 ms, in case it was lost. Taken for a grant that nobody waits for, it was given back, and the request came in vain.
-  const { clock, client, told, ask, kinds } = rig();
-  const pending = ask();
-  const id = told[0]?.ask_id ?? 0;
+test("slot client: a grant that is sent again because it is not used yet is not returned", async (t) => {
+  // A request with a body is on its way to the target that granted the slot. After 60 ms the gate sends the grant
+  // again, in case it was lost. The client treated it as a grant for a cancelled request and returned it, so that the
+  // slot was gone when the request arrived.
+  const { clock, client, sent, requestSlot, kinds } = setUp();
+  const pending = requestSlot();
+  const id = sent[0]?.ask_id ?? 0;
   client.receive(gateWire.reply(id, granted), GATE);
   t.is((await pending.answer).kind, "granted");
   for (const ms of [60, 80]) {
@@ -88,9 +90,9 @@
   t.deepEqual(kinds(), ["ask"]);
 });
 
-test("asks: what names no ask, or cannot be read, changes nothing", (t) => {
-  const { client, ask, kinds, queued } = rig();
-  ask();
+test("slot client: a message with an unknown request id or without readable content is ignored", (t) => {
+  const { client, requestSlot, kinds, queued } = setUp();
+  requestSlot();
   client.receive(gateWire.queued(99, idleLoad), GATE);
   client.receive(gateWire.reply(99, refused()), GATE);
   client.receive({ ...gateWire.reply(1, refused()), reply: null }, GATE);
--- a/src/sidecar/hop/SlotClient.ts
+++ b/src/sidecar/hop/SlotClient.ts
@@ -9,110 +9,116 @@
 
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** An ask of which nothing is heard is sent again after this long, ms: datagrams are lost. Another target is asked meanwhile. */
+/**
+ * Time after which a request without a reply is sent again, ms, as datagrams may be lost. Meanwhile another target is
+ * asked.
+ */
 const RESEND_MS = 60;
 
-/** Times that an ask is sent, at most. */
-const SENDS = 3;
+/** Maximum number of times that a request is sent. */
+const MAX_SENDS = 3;
 
-/** A grant may be told of again for this long, ms: twice, and over a slow path. */
-const TOLD_AGAIN_MS = 2000;
+/** Period during which a gate may send a grant again, ms: covers two more copies, also over a slow network. */
+const GRANT_RESEND_PERIOD_MS = 2000;
 
 interface SlotClientDeps {
-  /** Sends a message that may be lost. */
+  /** Sends a datagram, which may be lost. */
   readonly tell: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
 }
 
-/** An ask of which the last word has not come. */
-interface OpenAsk {
+/** A slot request that has not been granted or refused yet. */
+interface PendingRequest {
   readonly onQueued: (load: GateLoad) => void;
   readonly settle: (reply: SlotReply) => void;
   timer: Timer | undefined;
 }
 
 /**
- * Asks gates for slots by datagrams: an ask and its answer are some 60 bytes each, a sixth of what they
- * are as HTTP, and none waits for a connection to open. Lost ones are sent again, or do no harm: a
- * grant that nobody waits for any more is given back.
+ * Requests slots from gates by datagrams. A request and its reply are about 60 bytes each, a sixth of their size over
+ * HTTP, and need not wait for a connection to open. A lost request or reply is covered by sending the request again; a
+ * lost withdrawal by returning a grant that no request is waiting for.
  */
 export class SlotClient {
   readonly #deps: SlotClientDeps;
-  readonly #open = new Map<number, OpenAsk>();
-  /** Asks whose grants were passed on lately. */
-  readonly #granted = new Set<number>();
+  readonly #pending = new Map<number, PendingRequest>();
+  /** Ids of requests that were granted recently. */
+  readonly #recentGrants = new Set<number>();
   #nextId = 1;
 
   constructor(deps: SlotClientDeps) {
     this.#deps = deps;
   }
 
-  /** Asks the gate at `address`; see {@link HopLink.requestSlot}. */
+  /** Sends a slot request to the gate at `address`; see {@link HopLink.requestSlot}. */
   requestSlot(
     address: string,
     request: SlotRequest,
-    onQueued: OpenAsk["onQueued"],
+    onQueued: PendingRequest["onQueued"],
   ): PendingCall<SlotReply> {
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
     const message = gateWire.ask(id, request);
     const answer = new Promise<SlotReply>((settle) => {
-      this.#open.set(id, { onQueued, settle, timer: undefined });
+      this.#pending.set(id, { onQueued, settle, timer: undefined });
     });
     this.#send(id, address, message, 1);
     return {
       answer,
       giveUp: () => {
-        if (this.#end(id)) {
+        if (this.#remove(id)) {
           this.#deps.tell(address, gateWire.withdrawn(id));
         }
       },
     };
   }
 
-  /** Takes what a gate says of an ask. */
+  /** Handles a gate's message about a slot request. */
   receive(message: GateMessage, from: string): void {
     const { ask_id: id } = message;
-    const open = this.#open.get(id);
+    const pending = this.#pending.get(id);
     const reply = gateWire.readReply(message);
-    const queuedAt = gateWire.readQueued(message);
-    if (reply && this.#end(id)) {
+    const queuedLoad = gateWire.readQueued(message);
+    if (reply && this.#remove(id)) {
       this.#rememberGrant(id, reply);
-      open?.settle(reply);
-    } else if (reply?.kind === "granted" && !this.#granted.has(id)) {
+      pending?.settle(reply);
+    } else if (reply?.kind === "granted" && !this.#recentGrants.has(id)) {
       this.#deps.tell(from, gateWire.withdrawn(id));
-    } else if (queuedAt && open) {
-      open.timer?.cancel();
-      open.onQueued(queuedAt);
+    } else if (queuedLoad && pending) {
+      pending.timer?.cancel();
+      pending.onQueued(queuedLoad);
     }
   }
 
-  /** A gate tells of a grant again until it is taken; given back then, the request would come in vain. */
+  /**
+   * Remembers a grant, which the gate sends again until the slot is used. Returning the repeated grant would release
+   * the slot before the request arrives.
+   */
   #rememberGrant(id: number, { kind }: SlotReply): void {
     if (kind === "granted") {
-      this.#granted.add(id);
-      this.#deps.clock.after(TOLD_AGAIN_MS, () => {
-        this.#granted.delete(id);
+      this.#recentGrants.add(id);
+      this.#deps.clock.after(GRANT_RESEND_PERIOD_MS, () => {
+        this.#recentGrants.delete(id);
       });
     }
   }
 
-  #send(id: number, address: string, message: GateMessage, sends: number): void {
-    const open = this.#open.get(id);
-    if (!open) {
+  #send(id: number, address: string, message: GateMessage, sent: number): void {
+    const pending = this.#pending.get(id);
+    if (!pending) {
       return;
     }
     this.#deps.tell(address, message);
-    if (sends < SENDS) {
-      open.timer = this.#deps.clock.after(RESEND_MS, () => {
-        this.#send(id, address, message, sends + 1);
+    if (sent < MAX_SENDS) {
+      pending.timer = this.#deps.clock.after(RESEND_MS, () => {
+        this.#send(id, address, message, sent + 1);
       });
     }
   }
 
-  /** True when it was open until now. */
-  #end(id: number): boolean {
-    this.#open.get(id)?.timer?.cancel();
-    return this.#open.delete(id);
+  /** Removes a pending request; returns whether it was still pending. */
+  #remove(id: number): boolean {
+    this.#pending.get(id)?.timer?.cancel();
+    return this.#pending.delete(id);
   }
 }
--- a/src/sidecar/hop/SlotReply.ts
+++ b/src/sidecar/hop/SlotReply.ts
@@ -2,7 +2,7 @@
 import type { GateLoad } from "./GateLoad.ts";
 import type { RefusalReason } from "./RefusalReason.ts";
 
-/** The answer to a {@link SlotRequest}. */
+/** Reply to a {@link SlotRequest}. */
 export type SlotReply =
   | {
       readonly kind: "granted";
@@ -12,7 +12,7 @@
   | {
       readonly kind: "refused";
       readonly reason: RefusalReason;
-      /** When it may be worth asking again, ms. */
+      /** Time after which a new request may succeed, ms. */
       readonly retryAfterMs: number;
       readonly load: GateLoad;
     };
--- a/src/sidecar/hop/SlotRequest.ts
+++ b/src/sidecar/hop/SlotRequest.ts
@@ -2,30 +2,33 @@
 import type { TargetId } from "../../common/ids/TargetId.ts";
 
 /**
- * A sidecar with a caller's request asks the sidecar beside a target for a slot
- * there. Asking is free of effect: nothing runs before the slot that was granted is
- * taken, so it may ask several at once, and again after silence.
+ * Request for a slot at a target, sent by a sidecar that has a caller's request to the target's sidecar. It has no side
+ * effects: nothing runs until a granted slot is used, so several targets may be asked at once, and a request without a
+ * reply may be repeated.
  */
 export interface SlotRequest {
   readonly attempt: AttemptId;
-  /** The target that is asked for; another one may be there by now. */
+  /** The requested target; the sidecar may have a different local target by now. */
   readonly target: TargetId;
-  /** Another try is left if this one fails: it may go to a target under suspicion, to tell how that is. */
+  /** The request can be retried if it fails, so it may go to a suspect target as a probe. */
   readonly isExpendable: boolean;
-  /** It is for a call that a target makes in the midst of a run: that holds a slot elsewhere, and is lost without it. */
+  /** It is a nested call: the run that makes it holds a slot at another target, and fails if the call does. */
   readonly isCall: boolean;
-  /** Requests wait in line for want of room where it comes from: whether a target is well is to be known soon. */
+  /** Requests are queued at the sender for lack of capacity, so a suspect target should be probed soon. */
   readonly isPressed: boolean;
-  /** 0 is the most urgent. */
+  /** Priority of the route; 0 is the highest. */
   readonly priority: number;
-  /** Time left for the answer, ms. */
+  /** Time remaining for the response, ms. */
   readonly remainingMs: number;
-  /** Time left until the answer is late by the route's objective, ms; negative when it is. */
+  /** Time remaining until the route's latency objective, ms; negative when it has passed. */
   readonly objectiveMs: number;
-  /** What requests of its kind usually take at the service's targets, ms; 0 when not known. */
+  /** Typical duration of such requests at the service's targets, ms; 0 if unknown. */
   readonly typicalMs: number;
-  /** Size of the request's body, bytes; 0 for none, or where its sender does not say. */
+  /** Size of the request body, bytes; 0 if there is none or its size is unknown. */
   readonly bodyBytes: number;
-  /** There is no better target: grant it also while this one is under suspicion, unless it fails with a higher chance than this. */
+  /**
+   * Highest failure probability at which a suspect target should still grant the request, because there is no better
+   * target; 0 if there is one.
+   */
   readonly acceptsRisk: number;
 }
