--- a/src/sidecar/hop/HOP.ts
+++ b/src/sidecar/hop/HOP.ts
@@ -1,39 +1,39 @@
 /**
- * What sidecars say to each other over HTTP/1.1, at the address that each one tells
- * the others. A request is passed on as it is, with these headers besides; a join has
- * a path of its own. Slots are asked for by datagrams.
+ * Paths and headers of the HTTP/1.1 hop between two sidecars, at the hop address that each sidecar announces to the
+ * others. A request is forwarded unchanged except for these additional headers; reattaching uses a separate path. Slots
+ * are requested by datagrams.
  */
 export const HOP = {
-  /** `POST`, for the answer of a run that lost its connection; answered as the run itself is. */
+  /** `POST` reattaches to a run whose connection was lost; the response is the one that the run itself would get. */
   joinPath: "/burdockpass-hop/v1/join",
 
-  /** The attempt that the request, or the answer asked for, belongs to. */
+  /** Id of the attempt that is forwarded or reattached to. */
   attempt: "x-burdockpass-attempt",
-  /** The id of the grant, which begins with the life (the boot) of the granting process. */
+  /** Id of the grant, which starts with the incarnation of the granting process; hence the header's name. */
   grant: "x-burdockpass-boot",
-  /** Time left for the answer, ms. */
+  /** Time remaining for the response, ms. */
   remaining: "x-burdockpass-hop-remaining-ms",
-  /** The service beside which the request began. */
+  /** Name of the service co-located with the sidecar at which the request originated. */
   caller: "x-burdockpass-caller-service",
-  /** The request may run more than once. */
+  /** Set to `1` if the request is idempotent and may run more than once. */
   idempotent: "x-burdockpass-idempotent",
-  /** The header in which targets of the service echo the id they are sent. */
+  /** Name of the header in which targets of the service echo the attempt id. */
   echo: "x-burdockpass-echo-header",
 
-  /** How the run ended: the kind of its verdict. */
+  /** Kind of the run's verdict. */
   verdict: "x-burdockpass-hop-verdict",
-  /** Why, where it did not end in an answer. */
+  /** Reason of the verdict, percent-encoded, if the run did not produce a response. */
   reason: "x-burdockpass-hop-reason",
-  /** What the run says of the target; see AttemptOutcome. */
+  /** Outcome of the run as evidence about the target's health; see AttemptOutcome. */
   outcome: "x-burdockpass-hop-outcome",
-  /** Where it is not done: when to come back, ms. */
+  /** For a verdict other than `done`: time after which to retry, ms. */
   retryAfter: "x-burdockpass-hop-retry-after-ms",
-  /** A may-have-run whose time ran out. */
+  /** Set to `1` if the verdict is `may-have-run` because the deadline passed. */
   timedOut: "x-burdockpass-hop-timed-out",
-  /** The status that the caller should get, where 503 would mislead. */
+  /** Status code to return to the caller where 503 would be misleading. */
   status: "x-burdockpass-hop-status",
-  /** Calls that a run at that target makes, on average: `service=mean`, separated by commas. */
+  /** Mean number of nested calls per run at the target: `service=mean`, separated by commas. */
   calls: "x-burdockpass-hop-calls",
-  /** The target that the slot is at, or that ran the request. */
+  /** Id of the target that granted the slot or ran the request. */
   target: "x-burdockpass-hop-target",
 } as const;
--- a/src/sidecar/hop/HopClient.test.ts
+++ b/src/sidecar/hop/HopClient.test.ts
@@ -22,7 +22,7 @@
   echoHeader: undefined,
 };
 
-/** A server that does this with each connection; undefined for none at its address. */
+/** Starts a server that passes connections to `onConnection`; without it, nothing listens at the returned address. */
 async function listen(onConnection?: (socket: Socket) => void): Promise<[string, Server]> {
   const server = createServer(onConnection ?? (() => undefined));
   await new Promise<void>((resolve) => server.listen(0, "127.0.0.1", resolve));
@@ -33,25 +33,25 @@
   return [address, server];
 }
 
-function closeOnceRead(socket: Socket): void {
+function closeOnFirstData(socket: Socket): void {
   socket.once("data", () => socket.destroy());
 }
 
 const cases = [
   {
-    name: "one that nobody listens for has not been sent",
+    name: "a refused connection is reported as not sent, so that the request can go to another target",
     open: () => listen(),
     isSent: false,
   },
   {
-    name: "one whose connection is closed as it was opened may have been read",
-    open: () => listen(closeOnceRead),
+    name: "a request whose connection is closed after it was read is not reported as not sent, as it may have run",
+    open: () => listen(closeOnFirstData),
     isSent: true,
   },
 ];
 
 for (const { name, open, isSent } of cases) {
-  test(`hop: ${name}`, async (t) => {
+  test(`hop client: ${name}`, async (t) => {
     const [address, server] = await open();
     const client = new HopClient({
       requestSlot: () => ({ answer: new Promise(() => undefined), giveUp: () => undefined }),
--- a/src/sidecar/hop/HopClient.ts
+++ b/src/sidecar/hop/HopClient.ts
@@ -13,21 +13,21 @@
 import { NotSentError } from "./NotSentError.ts";
 import type { PendingCall } from "./PendingCall.ts";
 
-/** A connection between sidecars that takes longer to open is given up, ms: across zones it takes 3. */
+/** Connect timeout between sidecars, ms; connecting to another availability zone takes 3 ms. */
 const CONNECT_TIMEOUT_MS = 500;
 
-/** A connection not used for this long is closed, ms; before the other side closes it. */
-const IDLE_MS = 20_000;
+/** Idle connections are closed after this time, ms, which is before the other side closes them. */
+const IDLE_TIMEOUT_MS = 20_000;
 
-/** What to call when the other side says that a request is alive. */
+/** Called when the other sidecar signals (by status 102) that it is still processing the request. */
 type OnAlive = () => void;
 
-/** The way to the sidecars beside targets: asks by datagrams, requests by HTTP. */
+/** Client for the sidecars of targets: requests slots by datagrams and forwards requests by HTTP. */
 export class HopClient implements HopLink, IDisposable {
   readonly #slotClient: Pick<SlotClient, "requestSlot">;
   readonly #pools = new Map<string, Pool>();
 
-  /** @param slotClient by which slots are asked for */
+  /** @param slotClient sends the slot requests */
   constructor(slotClient: Pick<SlotClient, "requestSlot">) {
     this.#slotClient = slotClient;
   }
@@ -36,9 +36,9 @@
     return this.#slotClient.requestSlot(...args);
   }
 
-  /** Sends a request for which a slot was granted. */
+  /** Sends a request for which a slot was granted; see {@link HopLink.run}. */
   run(address: string, req: HopRequest, onAlive: OnAlive): PendingCall<ForwardResult> {
-    return this.#start(onAlive, async (signal, onInfo) => {
+    return this.#call(onAlive, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: req.method,
         path: req.path,
@@ -46,59 +46,59 @@
         body: req.body,
         signal,
         onInfo,
-        ...UNTIMED,
+        ...NO_TIMEOUTS,
       });
       return readResult(res.statusCode, res.headers, res.body);
     });
   }
 
-  /** Asks again for the answer of a run whose connection was lost, over a new one. */
+  /** Reattaches to a run whose connection was lost; see {@link HopLink.join}. */
   join(address: string, grant: GrantRef, onAlive: OnAlive): PendingCall<ForwardResult> {
-    this.renew(address);
-    return this.#start(onAlive, async (signal, onInfo) => {
+    this.retirePool(address);
+    return this.#call(onAlive, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: "POST",
         path: HOP.joinPath,
         headers: grantHeaders(grant),
         signal,
         onInfo,
-        ...UNTIMED,
+        ...NO_TIMEOUTS,
       });
       return readResult(res.statusCode, res.headers, res.body);
     });
   }
 
   /**
-   * Leaves the kept connections to a sidecar behind: when one has gone silent, so
-   * have the others likely, while new ones work. What is under way on them ends as it may.
+   * Stops using the pooled connections to a sidecar: when one of them has gone silent, the others are likely to have
+   * failed as well, while new connections work. Requests in flight on them continue.
    */
-  renew(address: string): void {
+  retirePool(address: string): void {
     const pool = this.#pools.get(address);
     this.#pools.delete(address);
     void pool?.close().catch(() => undefined);
   }
 
-  /** Closes every connection, forcibly. */
+  /** Closes all connections and aborts the requests on them. */
   async dispose(): Promise<void> {
     const pools = [...this.#pools.values()];
     this.#pools.clear();
     await Promise.all(pools.map((p) => p.destroy()));
   }
 
-  #start<T>(
+  #call<T>(
     onAlive: OnAlive,
-    act: (signal: AbortSignal, onInfo: () => void) => Promise<T>,
+    send: (signal: AbortSignal, onInfo: () => void) => Promise<T>,
   ): PendingCall<T> {
-    const stop = new AbortController();
-    const answer = act(stop.signal, onAlive).catch((err: unknown) => {
+    const controller = new AbortController();
+    const answer = send(controller.signal, onAlive).catch((err: unknown) => {
       throw isConnectError(err) ? new NotSentError(err) : err;
     });
-    // Given up on by whoever asked: nobody is left to hear of its failure.
+    // A cancelled call may have no handler left for the rejection.
     answer.catch(() => undefined);
     return {
       answer,
       giveUp: () => {
-        stop.abort();
+        controller.abort();
       },
     };
   }
@@ -108,8 +108,8 @@
     if (!pool) {
       pool = new Pool(`http://${address}`, {
         connectTimeout: CONNECT_TIMEOUT_MS,
-        keepAliveTimeout: IDLE_MS,
-        keepAliveMaxTimeout: IDLE_MS,
+        keepAliveTimeout: IDLE_TIMEOUT_MS,
+        keepAliveMaxTimeout: IDLE_TIMEOUT_MS,
         pipelining: 1,
       });
       this.#pools.set(address, pool);
@@ -118,15 +118,15 @@
   }
 }
 
-/** Whoever asks keeps the time: silence means different things to an ask and to a run. */
-const UNTIMED = { headersTimeout: 0, bodyTimeout: 0 } as const;
+/** Disables undici's timeouts: the caller detects silence itself, with a different timeout for each kind of call. */
+const NO_TIMEOUTS = { headersTimeout: 0, bodyTimeout: 0 } as const;
 
 function grantHeaders({ attempt, target, grant }: GrantRef): string[] {
   return [HOP.attempt, attempt, HOP.target, target, HOP.grant, grant];
 }
 
 function runHeaders(req: HopRequest): string[] {
-  const own = [
+  const hopHeaders = [
     ...grantHeaders(req),
     HOP.remaining,
     String(Math.max(1, Math.floor(req.remainingMs))),
@@ -136,7 +136,7 @@
   const idempotent = req.idempotent ? [HOP.idempotent, "1"] : [];
   const echo = req.echoHeader === undefined ? [] : [HOP.echo, req.echoHeader];
   const length = req.bodyLength === undefined ? [] : ["content-length", String(req.bodyLength)];
-  return [...req.headers, ...own, ...idempotent, ...echo, ...length];
+  return [...req.headers, ...hopHeaders, ...idempotent, ...echo, ...length];
 }
 
 async function readResult(
@@ -144,8 +144,8 @@
   headers: Record<string, string | string[] | undefined>,
   body: Readable,
 ): Promise<ForwardResult> {
-  const answer = await readResponse(body, false);
-  const result = hopResponse.read(status, headers, answer);
+  const responseBody = await readResponse(body, false);
+  const result = hopResponse.read(status, headers, responseBody);
   if (!result) {
     throw new Error(`no sidecar's answer, status ${status}`);
   }
--- a/src/sidecar/hop/HopLink.ts
+++ b/src/sidecar/hop/HopLink.ts
@@ -5,20 +5,23 @@
 import type { HopRequest } from "./HopRequest.ts";
 import type { PendingCall } from "./PendingCall.ts";
 
-/** Names a slot that was granted, or the run that took it. */
+/** Identifies a granted slot, or the run that uses it. */
 export type GrantRef = Pick<HopRequest, "attempt" | "target" | "grant">;
 
 type OnQueued = (load: GateLoad) => void;
 
-/** The way to the sidecars beside targets. */
+/** Connection to the sidecars that are co-located with targets. */
 export interface HopLink {
   /**
-   * Asks for a slot, at a target's ask address. `onQueued` is called when the ask waits in line
-   * there, with how busy the target is; an ask that gets lost is never answered.
+   * Sends a slot request to a target's ask address. `onQueued` is called with the target's load when the request
+   * enters the admission queue there. If the request is lost, no reply arrives.
    */
   requestSlot(address: string, request: SlotRequest, onQueued: OnQueued): PendingCall<SlotReply>;
-  /** Sends a request for which a slot was granted, to a target's hop address. */
+  /**
+   * Sends a request for which a slot was granted to a target's hop address. `onAlive` is called when the other sidecar
+   * signals (by status 102) that it is still processing the request.
+   */
   run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult>;
-  /** Asks again for the answer of a run whose connection was lost, over a new one. */
+  /** Reattaches to a run whose connection was lost: asks for its result over a new connection. */
   join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult>;
 }
--- a/src/sidecar/hop/HopRequest.ts
+++ b/src/sidecar/hop/HopRequest.ts
@@ -4,7 +4,7 @@
 import type { TargetId } from "../../common/ids/TargetId.ts";
 import type { HeaderList } from "../forwarding/HeaderList.ts";
 
-/** A caller's request as it crosses to the sidecar beside a target. */
+/** A caller's request as it is forwarded to the sidecar of a target. */
 export interface HopRequest {
   readonly attempt: AttemptId;
   readonly target: TargetId;
@@ -13,9 +13,13 @@
   readonly path: string;
   readonly headers: HeaderList;
   readonly body: Buffer | Readable | undefined;
+  /** Length of a streamed body, bytes, if known. */
   readonly bodyLength?: number;
+  /** Time remaining for the response, ms. */
   readonly remainingMs: number;
+  /** Name of the service co-located with the sidecar at which the request originated; empty if unknown. */
   readonly callerService: string;
   readonly idempotent: boolean;
+  /** Name of the header in which targets of the service echo the attempt id, if they do. */
   readonly echoHeader: string | undefined;
 }
--- a/src/sidecar/hop/NotSentError.ts
+++ b/src/sidecar/hop/NotSentError.ts
@@ -1,4 +1,4 @@
-/** A request between sidecars for which no connection could be opened: nothing of it has left this process. */
+/** Thrown when no connection to another sidecar could be opened: no part of the request has left this process. */
 export class NotSentError extends Error {
   constructor(cause: Error) {
     super(`no connection: ${cause.message}`, { cause });
--- a/src/sidecar/hop/hopResponse.ts
+++ b/src/sidecar/hop/hopResponse.ts
@@ -9,16 +9,16 @@
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
 
-const OWN_HEADERS = new Set<string>(Object.values(HOP));
+const HOP_HEADERS = new Set<string>(Object.values(HOP));
 
-/** The result of a run, to and from the headers in which it crosses between sidecars. */
+/** Converts the result of a run to and from the HTTP response that carries it between sidecars. */
 export const hopResponse = {
-  /** The headers that say how a run ended, besides those of its answer. */
-  headersOf(out: ForwardResult): Record<string, string> {
-    const { verdict } = out;
+  /** Headers that carry the result of a run, in addition to those of the target's response. */
+  headersOf(result: ForwardResult): Record<string, string> {
+    const { verdict } = result;
     const headers: Record<string, string> = {
       [HOP.verdict]: verdict.kind,
-      [HOP.outcome]: out.outcome,
+      [HOP.outcome]: result.outcome,
     };
     if ("target" in verdict) {
       headers[HOP.target] = verdict.target;
@@ -29,8 +29,8 @@
     if ("retryAfterMs" in verdict) {
       headers[HOP.retryAfter] = String(verdict.retryAfterMs);
     }
-    if (out.calls && out.calls.size > 0) {
-      headers[HOP.calls] = encodeCalls(out.calls);
+    if (result.calls && result.calls.size > 0) {
+      headers[HOP.calls] = encodeCalls(result.calls);
     }
     if (verdict.kind === "not-run" && verdict.status !== undefined) {
       headers[HOP.status] = String(verdict.status);
@@ -41,23 +41,28 @@
     return headers;
   },
 
-  /** The verdict that an answer's headers tell; undefined when they tell none. */
+  /** The verdict in a response's headers; undefined if there is none. */
   verdictOf(status: number, headers: IncomingHttpHeaders): Verdict | undefined {
-    const text = (name: string): string => String(headers[name] ?? "");
-    const reason = decodeURIComponent(text(HOP.reason));
-    const retryAfterMs = Number(text(HOP.retryAfter));
-    const target = TargetId(text(HOP.target));
+    const valueOf = (name: string): string => String(headers[name] ?? "");
+    const reason = decodeURIComponent(valueOf(HOP.reason));
+    const retryAfterMs = Number(valueOf(HOP.retryAfter));
+    const target = TargetId(valueOf(HOP.target));
     switch (headers[HOP.verdict]) {
       case "done":
         return { kind: "done", target, status };
       case "not-run": {
-        const known = Number(text(HOP.status));
-        return { kind: "not-run", reason, retryAfterMs, status: known > 0 ? known : undefined };
+        const sentStatus = Number(valueOf(HOP.status));
+        return {
+          kind: "not-run",
+          reason,
+          retryAfterMs,
+          status: sentStatus > 0 ? sentStatus : undefined,
+        };
       }
       case "in-progress":
         return { kind: "in-progress", retryAfterMs };
       case "may-have-run": {
-        const timedOut = text(HOP.timedOut) === "1";
+        const timedOut = valueOf(HOP.timedOut) === "1";
         return { kind: "may-have-run", target, reason, timedOut, retryAfterMs };
       }
       default:
@@ -65,17 +70,17 @@
     }
   },
 
-  /** The result that an answer from another sidecar tells; undefined when it is none. */
+  /** The result in a response from another sidecar; undefined if it has no verdict, so is not from a sidecar. */
   read(
     status: number,
     headers: IncomingHttpHeaders,
-    answer: { readonly body: Buffer | Readable; readonly ended?: Promise<AttemptOutcome> },
+    response: { readonly body: Buffer | Readable; readonly ended?: Promise<AttemptOutcome> },
   ): ForwardResult | undefined {
     const verdict = hopResponse.verdictOf(status, headers);
     const outcome = toOutcome(headers[HOP.outcome]);
     const calls = decodeCalls(headers[HOP.calls]);
     if (verdict?.kind === "done") {
-      return { verdict, outcome, calls, headers: withoutOwn(headers), ...answer };
+      return { verdict, outcome, calls, headers: withoutHopHeaders(headers), ...response };
     }
     return verdict && { verdict, outcome, calls };
   },
@@ -87,7 +92,7 @@
     .join(",");
 }
 
-/** What cannot be read is left out. */
+/** Entries that cannot be parsed are skipped. */
 function decodeCalls(raw: string | string[] | undefined): CallMeans {
   const parts = String(raw ?? "")
     .split(",")
@@ -99,10 +104,10 @@
 }
 
 function toOutcome(raw: string | string[] | undefined): AttemptOutcome {
-  const known = Object.values(AttemptOutcome).find((o) => (o as string) === raw);
-  return known ?? AttemptOutcome.Cancelled;
+  const outcome = Object.values(AttemptOutcome).find((o) => (o as string) === raw);
+  return outcome ?? AttemptOutcome.Cancelled;
 }
 
-function withoutOwn(headers: IncomingHttpHeaders): Headers {
-  return Object.fromEntries(Object.entries(headers).filter(([name]) => !OWN_HEADERS.has(name)));
+function withoutHopHeaders(headers: IncomingHttpHeaders): Headers {
+  return Object.fromEntries(Object.entries(headers).filter(([name]) => !HOP_HEADERS.has(name)));
 }
