--- a/src/sidecar/hop/PendingCall.ts
+++ b/src/sidecar/hop/PendingCall.ts
@@ -1,6 +1,9 @@
 /** A call to another sidecar that is in progress. */
 export interface PendingCall<T> {
-  /** Resolves with the result of the call; rejects when the connection is lost or the call is cancelled. */
+  /**
+   * Resolves with the result of the call; rejects when the connection is lost. A cancelled HTTP call rejects, and a
+   * cancelled slot request stays pending.
+   */
   readonly answer: Promise<T>;
   /** Cancels the call and notifies the other sidecar. */
   giveUp(): void;
