--- a/src/sidecar/forwarding/openBody.ts
+++ b/src/sidecar/forwarding/openBody.ts
@@ -2,31 +2,30 @@
 import { PassThrough, type Readable } from "node:stream";
 import { readBody } from "../../common/http/readBody.ts";
 
-/** A request body: whole, so that it can be sent again; or as it comes; or none; or more than is allowed. */
+/** A request body: none, buffered so that it can be sent again, streamed, or larger than allowed. */
 type OpenedBody =
   | { readonly kind: "none"; readonly body: undefined }
   | { readonly kind: "whole"; readonly body: Buffer }
   | {
       readonly kind: "stream";
       readonly body: Readable;
-      /** Its length, where its sender has said. */
+      /** Length declared by the sender, bytes; undefined for a chunked body. */
       readonly length: number | undefined;
     }
   | { readonly kind: "too-large" };
 
-/** Bounds on a body, bytes. */
+/** Limits on the size of a body, bytes. */
 interface BodyBounds {
-  /** A larger one is refused. */
+  /** Maximum size; larger bodies are rejected. */
   readonly mostBytes: number;
-  /** One up to this size is read whole before it is sent on; a larger one is passed on as it comes. */
+  /** Bodies up to this size are buffered before they are forwarded; larger ones are streamed. */
   readonly wholeBytes: number;
 }
 
 /**
- * Opens a request's body. A small one is read whole, whether its sender says its length
- * or sends it in chunks, so that it can be sent again after a target refused it; any
- * other is passed on as it comes, with its reader's pace as the limit. Rejects when a
- * small one is cut off.
+ * Opens a request's body. A small one is buffered, whether its length is declared or it is chunked, so that it can be
+ * sent again after a target refused the request. Any other is streamed, with backpressure from its reader. Rejects if a
+ * small body is truncated.
  */
 export async function openBody(
   req: IncomingMessage,
@@ -48,23 +47,23 @@
     const body = await readBody(req, wholeBytes);
     return body ? { kind: "whole", body } : { kind: "too-large" };
   }
-  return { kind: "stream", body: detached(req, mostBytes), length };
+  return { kind: "stream", body: detachBody(req, mostBytes), length };
 }
 
-/** Reads the start of a body of untold length: whole if it ends there, or the stream that it is the start of. */
+/** Buffers a body of unknown length up to `wholeBytes`; if it is larger, returns a stream of all of it. */
 async function openChunked(
   req: IncomingMessage,
   { mostBytes, wholeBytes }: BodyBounds,
 ): Promise<OpenedBody> {
-  const body = detached(req, mostBytes);
-  const start: Buffer[] = [];
+  const body = detachBody(req, mostBytes);
+  const chunks: Buffer[] = [];
   let size = 0;
   try {
     for await (const chunk of body.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
-      start.push(chunk);
+      chunks.push(chunk);
       size += chunk.length;
       if (size > wholeBytes) {
-        body.unshift(Buffer.concat(start));
+        body.unshift(Buffer.concat(chunks));
         return { kind: "stream", body, length: undefined };
       }
     }
@@ -74,18 +73,18 @@
     }
     throw err;
   }
-  return { kind: "whole", body: Buffer.concat(start) };
+  return { kind: "whole", body: Buffer.concat(chunks) };
 }
 
-/** A body of untold length turned out larger than allowed. */
+/** A body was found to be larger than allowed while it was read. */
 class TooLargeError extends Error {}
 
 /**
- * A stream of `req`'s body that can be destroyed without its connection: a target may
- * answer before it has read all, and that answer must still go back on it. It fails
- * when the sender breaks off, or sends more than `maxBytes`.
+ * Returns a stream of `req`'s body that can be destroyed without closing its connection: a target may respond before it
+ * has read the complete body, and the response must still be sent on that connection. The stream fails if the sender
+ * aborts the request or sends more than `maxBytes`.
  */
-function detached(req: IncomingMessage, maxBytes: number): Readable {
+function detachBody(req: IncomingMessage, maxBytes: number): Readable {
   const body = new PassThrough();
   let size = 0;
   req.on("data", (chunk: Buffer) => {
@@ -101,7 +100,7 @@
     req.unpipe(body);
     req.resume();
   });
-  // A body that nobody reads to its end is no error of this process.
+  // A body that is not read to its end is not an error of this process, so must not cause an uncaught exception.
   body.on("error", () => undefined);
   return body;
 }
--- a/src/sidecar/forwarding/readResponse.ts
+++ b/src/sidecar/forwarding/readResponse.ts
@@ -1,74 +1,76 @@
 import { Readable } from "node:stream";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 
-/** Answers up to this size are read whole before any of it goes to the caller, bytes. */
+/** Response bodies up to this size are buffered before any part is returned to the caller, bytes. */
 const MAX_BUFFERED_BYTES = 1 << 20;
 
-/** A body read whole, or a stream of a large one and how it ended. */
-type Answer =
+/** A buffered body, or a stream of a large one and the outcome with which it ended. */
+type ResponseBody =
   { readonly body: Buffer } | { readonly body: Readable; readonly ended: Promise<AttemptOutcome> };
 
-/** Looks at a body that has come to its end; rejects when that was no proper end. */
+/** Checks a body that has ended; rejects if it was truncated. */
 type CheckEnd = () => Promise<void>;
 
 /**
- * Reads a target's answer. One of ordinary size is read whole, so that it can
- * still be retried elsewhere when it is cut short. A large one (a trend report)
- * is passed on as it comes, after its first {@link MAX_BUFFERED_BYTES}; it
- * fails when the target cuts it short. Rejects when cut short before that.
+ * Reads the body of a target's response. A body of ordinary size is buffered, so that the request can still be retried
+ * at another target if the body is truncated. A larger one (such as a trend report) is streamed once more than
+ * {@link MAX_BUFFERED_BYTES} have been read; the stream fails if the target truncates it. Rejects if the body is
+ * truncated before that.
+ *
+ * @param bufferAll buffer the body whatever its size
  */
 export async function readResponse(
   source: Readable,
-  whole: boolean,
+  bufferAll: boolean,
   checkEnd: CheckEnd = () => Promise.resolve(),
-): Promise<Answer> {
+): Promise<ResponseBody> {
   const chunks: Buffer[] = [];
   let size = 0;
-  const rest = source[Symbol.asyncIterator]() as AsyncIterator<Buffer, undefined>;
+  const iterator = source[Symbol.asyncIterator]() as AsyncIterator<Buffer, undefined>;
   for (;;) {
-    const next = await rest.next();
+    const next = await iterator.next();
     if (next.done) {
       await checkEnd();
       return { body: Buffer.concat(chunks) };
     }
     chunks.push(next.value);
     size += next.value.length;
-    if (size > MAX_BUFFERED_BYTES && !whole) {
-      return streamOn(chunks, rest, checkEnd);
+    if (size > MAX_BUFFERED_BYTES && !bufferAll) {
+      return streamRest(chunks, iterator, checkEnd);
     }
   }
 }
 
-function streamOn(
-  first: readonly Buffer[],
-  rest: AsyncIterator<Buffer, undefined>,
+function streamRest(
+  buffered: readonly Buffer[],
+  iterator: AsyncIterator<Buffer, undefined>,
   checkEnd: CheckEnd,
-): Answer {
-  let settle: (how: AttemptOutcome) => void = () => undefined;
+): ResponseBody {
+  let settle: (outcome: AttemptOutcome) => void = () => undefined;
   const ended = new Promise<AttemptOutcome>((resolve) => (settle = resolve));
   const body = Readable.from(
     (async function* () {
-      let how = AttemptOutcome.Cancelled; // Stays so when the caller stops reading.
+      let outcome = AttemptOutcome.Cancelled; // Remains the outcome if the caller stops reading.
       try {
-        yield* first;
-        for (let next = await pull(); !next.done; next = await pull()) {
+        yield* buffered;
+        for (let next = await readNext(); !next.done; next = await readNext()) {
           yield next.value;
         }
-        how = AttemptOutcome.Ok;
+        outcome = AttemptOutcome.Ok;
       } finally {
-        settle(how);
-        await rest.return?.();
+        settle(outcome);
+        await iterator.return?.();
       }
 
-      async function pull() {
+      async function readNext() {
         try {
-          const next = await rest.next();
+          const next = await iterator.next();
           if (next.done) {
             await checkEnd();
           }
           return next;
         } catch (err) {
-          how = AttemptOutcome.Failed;
+          outcome = AttemptOutcome.Failed;
           throw err;
         }
       }
