--- a/src/sidecar/forwarding/HeaderList.ts
+++ b/src/sidecar/forwarding/HeaderList.ts
@@ -1,2 +1,2 @@
-/** Header names and values in turn, as they came: repeated ones stay repeated, and in their order. */
+/** Alternating header names and values as received, with repeated headers and their order preserved. */
 export type HeaderList = readonly string[];
--- a/src/sidecar/forwarding/RETRY_AFTER_MS.ts
+++ b/src/sidecar/forwarding/RETRY_AFTER_MS.ts
@@ -1,2 +1,2 @@
-/** When a caller is told to come back where nothing better is known, ms: about one work time. */
+/** Default time after which callers are told to retry, ms: about the duration of one run. */
 export const RETRY_AFTER_MS = 1000;
--- a/src/sidecar/forwarding/endToEnd.ts
+++ b/src/sidecar/forwarding/endToEnd.ts
@@ -1,7 +1,7 @@
 import type { HeaderList } from "./HeaderList.ts";
 
-/** Headers that concern one connection only (RFC 9110, 7.6.1), and the framing, which each hop sets anew. */
-const HOP_HEADERS = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and the framing headers, which each hop sets itself. */
+const HOP_BY_HOP_HEADERS = new Set([
   "connection",
   "keep-alive",
   "proxy-connection",
@@ -14,26 +14,26 @@
 ]);
 
 /**
- * The headers that go on to the next hop: all but those that concern one connection,
- * those that `Connection` names as such, and those for which `drop` says so.
+ * Returns the headers to forward to the next hop: all except hop-by-hop headers, those listed in `Connection`, and
+ * those for which `isDropped` returns true.
  */
 export function endToEnd(
   headers: HeaderList,
-  drop: (lowerCaseName: string) => boolean = () => false,
+  isDropped: (lowerCaseName: string) => boolean = () => false,
 ): string[] {
-  const named = new Set<string>();
+  const connectionTokens = new Set<string>();
   for (const [name, value] of pairs(headers)) {
     if (name === "connection") {
-      value.split(",").forEach((token) => named.add(token.trim().toLowerCase()));
+      value.split(",").forEach((token) => connectionTokens.add(token.trim().toLowerCase()));
     }
   }
-  const kept: string[] = [];
+  const forwarded: string[] = [];
   for (const [name, value, raw] of pairs(headers)) {
-    if (!HOP_HEADERS.has(name) && !named.has(name) && !drop(name)) {
-      kept.push(raw, value);
+    if (!HOP_BY_HOP_HEADERS.has(name) && !connectionTokens.has(name) && !isDropped(name)) {
+      forwarded.push(raw, value);
     }
   }
-  return kept;
+  return forwarded;
 }
 
 function* pairs(headers: HeaderList): Generator<[name: string, value: string, raw: string]> {
