--- a/src/sidecar/forwarding/ForwardResult.ts
+++ b/src/sidecar/forwarding/ForwardResult.ts
@@ -3,23 +3,23 @@
 import type { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import type { CallMeans } from "../gate/CallsPerRun.ts";
 
-/** What is told of every try. */
-interface Told {
-  /** What it says of the target. */
+/** Fields of every result. */
+interface AttemptReport {
+  /** Outcome as evidence about the target's health. */
   readonly outcome: AttemptOutcome;
-  /** Calls that a run at that target makes, on average; left out where the sidecar beside it did not tell. */
+  /** Mean number of nested calls per run at the target, by service; undefined if its sidecar did not report them. */
   readonly calls?: CallMeans;
 }
 
-/** One try at one target: the verdict, and the whole answer when there is one. */
-export type ForwardResult = Told &
+/** Result of one attempt at one target: the verdict, and the response if the verdict is `done`. */
+export type ForwardResult = AttemptReport &
   (
     | {
         readonly verdict: Extract<Verdict, { kind: "done" }>;
         readonly headers: Record<string, string | string[] | undefined>;
-        /** The whole body, or a stream of a large one that fails if the target cuts it short. */
+        /** The complete body, or a stream of a large one, which fails if the target truncates it. */
         readonly body: Buffer | Readable;
-        /** For a stream: resolves when it has ended, with how. */
+        /** For a stream: resolves with the outcome when the stream has ended. */
         readonly ended?: Promise<AttemptOutcome>;
       }
     | { readonly verdict: Exclude<Verdict, { kind: "done" }> }
--- a/src/sidecar/forwarding/TargetExchange.ts
+++ b/src/sidecar/forwarding/TargetExchange.ts
@@ -4,13 +4,13 @@
 import type { TargetAgent } from "./TargetAgent.ts";
 import type { TargetRequest } from "./TargetRequest.ts";
 
-/** Headers of an answer, at most, bytes. */
+/** Maximum size of the response headers, bytes. */
 const MAX_HEADER_BYTES = 64 * 1024;
 
-/** Methods whose requests have no body unless they say so. */
-const BODILESS = new Set(["GET", "HEAD", "DELETE", "OPTIONS"]);
+/** Methods whose requests have no body by default. */
+const BODYLESS_METHODS = new Set(["GET", "HEAD", "DELETE", "OPTIONS"]);
 
-/** Where and how a request goes. */
+/** Target of an exchange, and how the request is sent to it. */
 interface Destination {
   /** Base URL of the target. */
   readonly url: string;
@@ -19,17 +19,17 @@
 }
 
 /**
- * One request on one connection to a target, by Node's own client. It tells an answer
- * that was reset on the way from one that ended, also where the answer has no length
- * and ends with its connection; undici takes both for whole.
+ * One request and its response on one connection to a target, using Node's HTTP client. It distinguishes a response
+ * that was truncated by a reset from a complete one, even if the response has no length and ends with its connection;
+ * undici treats both as complete.
  */
 export class TargetExchange {
   readonly #agent: TargetAgent;
   readonly #req: ClientRequest;
-  #failure: Error | undefined;
+  #error: Error | undefined;
 
-  /** Resolves with the head of the answer, whose body is still to be read. */
-  readonly answer: Promise<IncomingMessage>;
+  /** Resolves with the head of the response, before its body is read. */
+  readonly response: Promise<IncomingMessage>;
 
   constructor({ url, agent, headers }: Destination, req: TargetRequest) {
     const { hostname, port } = new URL(url);
@@ -39,17 +39,17 @@
       port,
       method: req.method,
       path: req.path,
-      headers: [...headers, ...framing(req)],
+      headers: [...headers, ...framingHeaders(req)],
       agent,
       maxHeaderSize: MAX_HEADER_BYTES,
     });
-    this.answer = new Promise((resolve, reject) => {
+    this.response = new Promise((resolve, reject) => {
       this.#req.once("response", (res) => {
-        this.#watch(res);
+        this.#watchResponse(res);
         resolve(res);
       });
       this.#req.on("error", (err) => {
-        this.#failure ??= err;
+        this.#error ??= err;
         reject(err);
       });
     });
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Checks an answer whose body has come to its end: rejects when it has no length, and
-   * its connection was reset rather than ended.
+   * Checks a response whose body has ended: rejects if the response has no length and its connection was reset rather
+   * than closed normally.
    */
   async checkEnd(res: IncomingMessage): Promise<void> {
     const isFramed =
@@ -68,7 +68,7 @@
     }
   }
 
-  /** Closes the connection, with whatever is still on it. */
+  /** Closes the connection and discards any data still in transit on it. */
   abort(): void {
     this.#req.destroy();
   }
@@ -78,34 +78,34 @@
       this.#req.end(req.body);
       return;
     }
-    // A body that breaks off breaks the request off, whose own error tells of it.
+    // An error of the body stream destroys the request, whose `error` event reports it.
     pipeline(req.body, this.#req, () => undefined);
   }
 
-  #watch(res: IncomingMessage): void {
-    // The parser takes what came before a reset for the whole of an answer without a
-    // length; the request's error, which comes first, says that it is not.
+  #watchResponse(res: IncomingMessage): void {
+    // The parser treats the bytes before a reset as the complete body of a response without a length; the request's
+    // error, which is emitted first, shows that the body is truncated.
     this.#req.once("error", (err) => res.destroy(err));
-    if (this.#failure) {
-      res.destroy(this.#failure);
+    if (this.#error) {
+      res.destroy(this.#error);
     }
     res.once("end", () => {
       if (!this.#req.writableFinished) {
-        // It was answered before it was sent to its end. The target may read on, and
-        // must not take anything else for the rest of it.
+        // The response ended before the request was fully sent. The target may continue to read, and must not receive
+        // the next request as the rest of this one.
         this.#req.destroy();
       }
     });
   }
 }
 
-/** Each hop frames the body anew. */
-function framing({ method, body, bodyLength }: TargetRequest): string[] {
+/** Headers that frame the body; each hop sets its own. */
+function framingHeaders({ method, body, bodyLength }: TargetRequest): string[] {
   if (Buffer.isBuffer(body)) {
     return ["content-length", String(body.length)];
   }
   if (body === undefined) {
-    return BODILESS.has(method) ? [] : ["content-length", "0"];
+    return BODYLESS_METHODS.has(method) ? [] : ["content-length", "0"];
   }
   return bodyLength === undefined
     ? ["transfer-encoding", "chunked"]
--- a/src/sidecar/forwarding/TargetRequest.ts
+++ b/src/sidecar/forwarding/TargetRequest.ts
@@ -9,17 +9,17 @@
   /** End-to-end headers, without those that the dialect sets. */
   readonly headers: HeaderList;
   readonly body: Buffer | Readable | undefined;
-  /** Length of a body that is streamed, where it is known. */
+  /** Length of a streamed body, bytes, if known. */
   readonly bodyLength?: number;
-  /** What the target is told besides; the time left is worked out when it is sent. */
+  /** Metadata sent to the target in headers; the remaining time is computed when the request is sent. */
   readonly words: Omit<TargetMetadata, "remainingMs">;
-  /** When the answer must be there, by the steady clock, ms. */
+  /** Deadline for the response, by the monotonic clock, ms. */
   readonly deadlineAt: number;
   readonly idempotent: boolean;
-  /** Aborted when the caller has left; absent for work that must run to its end. */
+  /** Aborted when the caller has disconnected; undefined for requests that must run to completion. */
   readonly cancelled?: AbortSignal;
-  /** Aborted when the target has started again: what it was given is lost, and no answer will come. */
+  /** Aborted when the target has restarted: the run is lost, and no response will arrive. */
   readonly lost?: AbortSignal;
-  /** Read the whole answer, however large, before it counts: needed where it is stored. */
+  /** Buffer the complete response, whatever its size, before returning it; needed if the response is stored. */
   readonly wholeAnswer?: boolean;
 }
--- a/src/sidecar/forwarding/TargetSender.ts
+++ b/src/sidecar/forwarding/TargetSender.ts
@@ -13,97 +13,101 @@
 import type { TargetRequest } from "./TargetRequest.ts";
 import { withHeaders } from "./withHeaders.ts";
 
-/** A connection idle this long may have been forgotten by either end; it is closed first, ms. */
-const IDLE_LIMIT_MS = 4000;
+/** Idle connections are closed after this time, ms, before either end may have dropped them unnoticed. */
+const IDLE_TIMEOUT_MS = 4000;
 
 /**
- * For this long after a target has put bytes of no request, or of another one, on a
- * connection, work that must not repeat gets a connection of its own, ms. Such bytes
- * arrive where the next answer is expected, and that request's outcome is then unknown.
+ * Period after a target has sent bytes that belong to no request, or to another one, in which each non-idempotent
+ * request uses a separate connection, ms. Such bytes arrive where the next response is expected, which leaves the
+ * outcome of that request unknown.
  */
-const UNTIDY_MS = 10_000;
+const ISOLATION_MS = 10_000;
 
-/** The status of a target that did not get its answer ready in the time that it was told. */
+/** Status code of a target that did not produce its response within the time it was given. */
 const GATEWAY_TIMEOUT = 504;
 
-/** Such an answer comes when no more than this share of the time is left: targets' clocks and timers are not exact. */
-const TIME_UP_SHARE = 0.1;
+/**
+ * Share of the time given to the target that may remain when such a response still counts as timed out: the clocks and
+ * timers of targets are not exact.
+ */
+const DEADLINE_TOLERANCE = 0.1;
 
 interface TargetSenderDeps {
   readonly dialect: Dialect;
   readonly clock: Clock;
-  /** Names this sidecar to targets in the `Via` header (RFC 9110, 7.6.3); empty for no header. */
+  /** Name of this sidecar in the `Via` header (RFC 9110, section 7.6.3); empty for no header. */
   readonly via: string;
-  /** Told when another target answers at a target's address. */
+  /** Called when a different target responds at a target's address. */
   readonly onOtherTarget?: (target: TargetInfo, other: string) => void;
 }
 
-/** How far a request has got. */
+/** State of a request in flight. */
 interface Progress {
-  answering: boolean;
+  isResponding: boolean;
   timedOut: boolean;
 }
 
 /**
- * Sends requests to the targets beside this sidecar over kept connections, and
- * turns every outcome into a verdict. A whole answer is read before it counts as
- * done: a body cut short is may-have-run.
+ * Sends requests to the local targets over persistent connections, and converts every outcome to a verdict. The verdict
+ * is `done` only once the complete response (or the start of a large one) has been read; a truncated body gives
+ * `may-have-run`.
  */
 export class TargetSender implements IDisposable {
   readonly #deps: TargetSenderDeps;
-  /** Kept connections by targets' URLs. */
+  /** Agents that hold the persistent connections, by target URL. */
   readonly #agents = new Map<string, TargetAgent>();
-  #untidyUntil = -Infinity;
+  /** Until when non-idempotent requests use separate connections, by the clock, ms. */
+  #isolatedUntil = -Infinity;
 
   constructor(deps: TargetSenderDeps) {
     this.#deps = deps;
   }
 
-  /** Sends `req` to `target` and waits for the whole answer (or the start of a large one) or the deadline. */
+  /** Sends `req` to `target` and waits for the complete response (or the start of a large one) or the deadline. */
   async send(target: TargetInfo, req: TargetRequest): Promise<ForwardResult> {
     const { clock } = this.#deps;
     const remainingMs = req.deadlineAt - clock.now();
     if (remainingMs <= 0) {
       return notRun("no time left", RETRY_AFTER_MS);
     }
-    const words = { ...req.words, remainingMs };
-    const headers = this.#headers(req, words);
-    const own = this.#agentFor(target, req);
-    const exchange = new TargetExchange({ url: target.url, agent: own.agent, headers }, req);
-    const progress: Progress = { answering: false, timedOut: false };
-    // Closing the connection ends the work there, and a late answer can never be
-    // taken for the next request's.
+    const metadata = { ...req.words, remainingMs };
+    const headers = this.#headersFor(req, metadata);
+    const connection = this.#agentFor(target, req);
+    const exchange = new TargetExchange({ url: target.url, agent: connection.agent, headers }, req);
+    const progress: Progress = { isResponding: false, timedOut: false };
+    // Closing the connection ends the run at the target, and ensures that a late response cannot be mistaken for that
+    // of the next request.
     const timer = clock.after(remainingMs, () => {
       progress.timedOut = true;
       exchange.abort();
     });
-    const onEnd = () => {
+    const onAbort = () => {
       exchange.abort();
     };
-    req.cancelled?.addEventListener("abort", onEnd);
-    req.lost?.addEventListener("abort", onEnd);
+    req.cancelled?.addEventListener("abort", onAbort);
+    req.lost?.addEventListener("abort", onAbort);
     try {
-      const res = await exchange.answer;
-      progress.answering = true;
-      return await this.#toResult(target, req, words, res, exchange);
+      const res = await exchange.response;
+      progress.isResponding = true;
+      return await this.#toResult(target, req, metadata, res, exchange);
     } catch (err) {
-      return this.#failed(target, req, progress, err);
+      return this.#toFailure(target, req, progress, err);
     } finally {
-      // The deadline is for the answer, or the start of a large one; how fast a
-      // slow phone then takes the rest is not the target's doing.
+      // The deadline applies to the response, or to the start of a large one. How fast a slow client then reads the
+      // rest does not depend on the target.
       timer.cancel();
-      req.cancelled?.removeEventListener("abort", onEnd);
-      req.lost?.removeEventListener("abort", onEnd);
-      own.done();
+      req.cancelled?.removeEventListener("abort", onAbort);
+      req.lost?.removeEventListener("abort", onAbort);
+      connection.release();
     }
   }
 
-  /** Leaves the kept connections to a target that has started again behind: its last life held their other ends. */
+  /** Retires the connections to a target that has restarted, whose previous incarnation held their other ends. */
   renew({ url }: TargetInfo): void {
-    this.#leaveKept(url);
+    this.#retireAgent(url);
   }
 
-  /** Closes every connection, forcibly. */
+  /** Closes all connections and aborts the requests on them. */
   dispose(): void {
     for (const agent of this.#agents.values()) {
       agent.destroy();
@@ -111,21 +115,24 @@
     this.#agents.clear();
   }
 
-  #headers(req: TargetRequest, words: TargetMetadata): string[] {
+  #headersFor(req: TargetRequest, metadata: TargetMetadata): string[] {
     const { dialect, via } = this.#deps;
-    const trail = via === "" ? [] : ["via", `1.1 ${via}`];
-    return [...withHeaders(req.headers, dialect.writeTarget(words)), ...trail];
+    const viaHeader = via === "" ? [] : ["via", `1.1 ${via}`];
+    return [...withHeaders(req.headers, dialect.writeTarget(metadata)), ...viaHeader];
   }
 
-  /** Kept connections; or one for this request alone, when leftovers on a kept one could be taken for its answer. */
-  #agentFor(target: TargetInfo, req: TargetRequest): { agent: TargetAgent; done: () => void } {
-    if (req.idempotent || this.#deps.clock.now() >= this.#untidyUntil) {
-      return { agent: this.#kept(target.url), done: () => undefined };
+  /**
+   * Returns the agent with the persistent connections, or one for this request only if stray bytes on a persistent
+   * connection could be mistaken for its response.
+   */
+  #agentFor(target: TargetInfo, req: TargetRequest): { agent: TargetAgent; release: () => void } {
+    if (req.idempotent || this.#deps.clock.now() >= this.#isolatedUntil) {
+      return { agent: this.#keepAliveAgent(target.url), release: () => undefined };
     }
     const agent = new TargetAgent({ keepAlive: false });
     return {
       agent,
-      done: () => {
+      release: () => {
         agent.destroy();
       },
     };
@@ -134,12 +141,12 @@
   async #toResult(
     target: TargetInfo,
     req: TargetRequest,
-    words: TargetMetadata,
+    metadata: TargetMetadata,
     res: IncomingMessage,
     exchange: TargetExchange,
   ): Promise<ForwardResult> {
     const status = res.statusCode ?? 0;
-    const head = this.#deps.dialect.readResponse(words, status, res.headers);
+    const head = this.#deps.dialect.readResponse(metadata, status, res.headers);
     switch (head.kind) {
       case "not-run":
         res.resume();
@@ -148,37 +155,43 @@
         }
         return notRun("the target did not run it", head.retryAfterMs ?? RETRY_AFTER_MS);
       case "foreign":
-        // Whose answer it is cannot be told, so no caller gets it, and ours may have
-        // run. Ours may follow on this connection, where the next request's answer is
-        // expected, so no other request may be sent on it.
-        this.#noteUntidy(target.url);
+        // The response belongs to another request, which is unknown, so it is not returned to any caller, and this
+        // request may have run. Its own response may still follow on this connection, where that of the next request
+        // is expected, so no other request may be sent on it.
+        this.#isolateRequests(target.url);
         exchange.abort();
         return mayHaveRun(target, head.reason, AttemptOutcome.Wrong);
       case "own": {
-        const answer = await readResponse(res, req.wholeAnswer ?? false, () =>
+        const body = await readResponse(res, req.wholeAnswer ?? false, () =>
           exchange.checkEnd(res),
         );
         const verdict = { kind: "done", target: target.id, status } as const;
-        const outcome = this.#outcomeOf(status, words.remainingMs, req.deadlineAt);
-        return { verdict, outcome, headers: res.headers, ...answer };
+        const outcome = this.#outcomeOf(status, metadata.remainingMs, req.deadlineAt);
+        return { verdict, outcome, headers: res.headers, ...body };
       }
     }
   }
 
-  /** What a whole answer says of the target: one that gives up with its time is late, not failing. */
-  #outcomeOf(status: number, givenMs: number, deadlineAt: number): AttemptOutcome {
+  /** Outcome of a complete response: a gateway timeout at the deadline counts as timed out, not as failed. */
+  #outcomeOf(status: number, timeoutMs: number, deadlineAt: number): AttemptOutcome {
     if (status < 500) {
       return AttemptOutcome.Ok;
     }
-    const leftMs = deadlineAt - this.#deps.clock.now();
-    const isOutOfTime = status === GATEWAY_TIMEOUT && leftMs <= givenMs * TIME_UP_SHARE;
-    return isOutOfTime ? AttemptOutcome.TimedOut : AttemptOutcome.Failed;
+    const remainingMs = deadlineAt - this.#deps.clock.now();
+    const isAtDeadline =
+      status === GATEWAY_TIMEOUT && remainingMs <= timeoutMs * DEADLINE_TOLERANCE;
+    return isAtDeadline ? AttemptOutcome.TimedOut : AttemptOutcome.Failed;
   }
 
-  #failed(target: TargetInfo, req: TargetRequest, progress: Progress, err: unknown): ForwardResult {
+  #toFailure(
+    target: TargetInfo,
+    req: TargetRequest,
+    progress: Progress,
+    err: unknown,
+  ): ForwardResult {
     const code = (err as { code?: string }).code ?? "";
     if (progress.timedOut) {
-      this.#leaveKept(target.url);
+      this.#retireAgent(target.url);
       return mayHaveRun(target, "no answer in time", AttemptOutcome.TimedOut, true);
     }
     if (req.lost?.aborted) {
@@ -188,44 +201,44 @@
       return mayHaveRun(target, "the caller has left", AttemptOutcome.Cancelled);
     }
     if (isConnectError(err)) {
-      const refused = notRun(`connect failed: ${code}`, RETRY_AFTER_MS);
-      return { ...refused, outcome: AttemptOutcome.NoAnswer };
+      const result = notRun(`connect failed: ${code}`, RETRY_AFTER_MS);
+      return { ...result, outcome: AttemptOutcome.NoAnswer };
     }
-    const isUntidy = code.startsWith("HPE_");
-    if (isUntidy) {
-      this.#noteUntidy(target.url);
+    const isParseError = code.startsWith("HPE_");
+    if (isParseError) {
+      this.#isolateRequests(target.url);
     }
     const reason = err instanceof Error ? `${err.name}: ${code || err.message}` : "unknown error";
-    const isWrong = isUntidy || progress.answering;
+    const isWrong = isParseError || progress.isResponding;
     return mayHaveRun(target, reason, isWrong ? AttemptOutcome.Wrong : AttemptOutcome.NoAnswer);
   }
 
-  #noteUntidy(url: string): void {
-    this.#untidyUntil = this.#deps.clock.now() + UNTIDY_MS;
-    this.#leaveKept(url);
+  /** Makes non-idempotent requests use separate connections for a while, after a target sent unexpected bytes. */
+  #isolateRequests(url: string): void {
+    this.#isolatedUntil = this.#deps.clock.now() + ISOLATION_MS;
+    this.#retireAgent(url);
   }
 
   /**
-   * Leaves a target's kept connections behind: whatever lost track of one of them, or
-   * put bytes of no request on it, has likely done so to the others, while new ones
-   * work. Requests still open on them finish.
+   * Stops using the persistent connections to a target: a failure that dropped one of them, or put bytes of no request
+   * on it, has probably affected the others too, while new connections work. Requests in flight on them continue.
    */
-  #leaveKept(url: string): void {
+  #retireAgent(url: string): void {
     const agent = this.#agents.get(url);
     this.#agents.delete(url);
     for (const sockets of Object.values(agent?.freeSockets ?? {})) {
       sockets?.forEach((s) => s.destroy());
     }
     if (agent) {
-      // Those in use end after the answer that they wait for.
+      // Connections in use are closed after their current response.
       agent.maxFreeSockets = 0;
     }
   }
 
-  #kept(url: string): TargetAgent {
+  #keepAliveAgent(url: string): TargetAgent {
     let agent = this.#agents.get(url);
     if (!agent) {
-      agent = new TargetAgent({ keepAlive: true, timeout: IDLE_LIMIT_MS });
+      agent = new TargetAgent({ keepAlive: true, timeout: IDLE_TIMEOUT_MS });
       this.#agents.set(url, agent);
     }
     return agent;
