--- a/src/sidecar/forwarding/TargetSender.test.ts
+++ b/src/sidecar/forwarding/TargetSender.test.ts
@@ -12,15 +12,15 @@
 import type { TargetRequest } from "./TargetRequest.ts";
 import { TargetSender } from "./TargetSender.ts";
 
-/** Targets echo the attempt in this header, so that answers can be told apart. */
+/** Targets echo the attempt id in this header, so that a response can be matched to its request. */
 const ECHO = "x-echo";
 
 const echoOf = (head: string) => /x-echo: (\S+)/i.exec(head)?.[1] ?? "none";
 
-const answer = (id: string, body: string, more = "") =>
-  `HTTP/1.1 200 OK\r\n${ECHO}: ${id}\r\ncontent-length: ${body.length}\r\n${more}\r\n${body}`;
+const response = (id: string, body: string, extraHeaders = "") =>
+  `HTTP/1.1 200 OK\r\n${ECHO}: ${id}\r\ncontent-length: ${body.length}\r\n${extraHeaders}\r\n${body}`;
 
-const request = (attempt: string, over: Partial<TargetRequest> = {}): TargetRequest => ({
+const request = (attempt: string, overrides: Partial<TargetRequest> = {}): TargetRequest => ({
   method: "GET",
   path: "/x",
   headers: ["Host", "desk.example"],
@@ -33,7 +33,7 @@
   },
   deadlineAt: SystemClock.now() + 500,
   idempotent: true,
-  ...over,
+  ...overrides,
 });
 
 async function withTarget<T>(
@@ -51,10 +51,10 @@
   }
 }
 
-const bodyOf = (out: ForwardResult) =>
+const responseBodyOf = (out: ForwardResult) =>
   "body" in out && Buffer.isBuffer(out.body) ? out.body.toString() : undefined;
 
-/** Closes a connection with a reset, as a crash does. */
+/** Closes a connection with a reset, as a crash of the target does. */
 const reset = (socket: Socket) => {
   socket.resetAndDestroy();
 };
@@ -66,26 +66,26 @@
   outcome: AttemptOutcome;
   body?: string;
   /** Time that the target is given, ms. */
-  givenMs?: number;
+  timeoutMs?: number;
 }[] = [
   {
-    name: "a whole answer",
-    behave: (s, head) => s.write(answer(echoOf(head), "whole")),
+    name: "a complete response",
+    behave: (s, head) => s.write(response(echoOf(head), "whole")),
     verdict: "done",
     outcome: AttemptOutcome.Ok,
     body: "whole",
   },
   {
-    name: "an answer without a length that ends with its connection",
+    name: "a response without a length that ends with its connection",
     behave: (s, head) => s.end(`HTTP/1.1 200 OK\r\n${ECHO}: ${echoOf(head)}\r\n\r\nto the end`),
     verdict: "done",
     outcome: AttemptOutcome.Ok,
     body: "to the end",
   },
   {
-    // Story: a target crashes in the midst of an answer that has no length. What has
-    // come of it looks like a whole answer, unless the reset is taken for what it is.
-    name: "an answer without a length whose connection is reset",
+    // The target crashes while it sends a response without a length. The bytes received so far look like a complete
+    // response unless the reset is detected.
+    name: "a response without a length whose connection is reset",
     behave: (s, head) => {
       s.write(`HTTP/1.1 200 OK\r\n${ECHO}: ${echoOf(head)}\r\n\r\nhalf of`);
       setTimeout(() => {
@@ -96,9 +96,9 @@
     outcome: AttemptOutcome.Wrong,
   },
   {
-    // Story: the same, with the reset on the heels of the bytes: the event loop hears
-    // of both at once, and only of an end.
-    name: "an answer without a length, and a reset right behind it",
+    // The same, with the reset directly after the bytes: the event loop receives both at once, and reports only an end
+    // of the stream.
+    name: "a response without a length, immediately followed by a reset",
     behave: (s, head) => {
       s.write(`HTTP/1.1 200 OK\r\n${ECHO}: ${echoOf(head)}\r\n\r\nhalf of`, () => {
         reset(s);
@@ -108,13 +108,13 @@
     outcome: AttemptOutcome.Wrong,
   },
   {
-    name: "an answer cut short by a close",
-    behave: (s, head) => s.end(answer(echoOf(head), "whole").slice(0, -2)),
+    name: "a response truncated by a close",
+    behave: (s, head) => s.end(response(echoOf(head), "whole").slice(0, -2)),
     verdict: "may-have-run",
     outcome: AttemptOutcome.Wrong,
   },
   {
-    name: "a reset before any answer",
+    name: "a reset before any response",
     behave: (s) => {
       reset(s);
     },
@@ -122,65 +122,65 @@
     outcome: AttemptOutcome.NoAnswer,
   },
   {
-    name: "a target that says at once that something else took too long",
-    behave: (s, head) => s.write(answer(echoOf(head), "slow").replace("200 OK", "504 Late")),
+    name: "an immediate gateway timeout",
+    behave: (s, head) => s.write(response(echoOf(head), "slow").replace("200 OK", "504 Late")),
     verdict: "done",
     outcome: AttemptOutcome.Failed,
     body: "slow",
   },
   {
-    // Story: a route gives less time than its work takes, and the target says so when its time is up.
-    // Counted as failures, such answers took sound targets out of rotation.
-    name: "a target that gives up when its time is up",
+    // A route allows less time than its runs take, and the target responds with 504 at the deadline. When such
+    // responses counted as failures, healthy targets were ejected.
+    name: "a gateway timeout at the deadline",
     behave: (s, head) => {
-      setTimeout(() => s.write(answer(echoOf(head), "late").replace("200 OK", "504 Late")), 1850);
+      setTimeout(() => s.write(response(echoOf(head), "late").replace("200 OK", "504 Late")), 1850);
     },
-    givenMs: 2000,
+    timeoutMs: 2000,
     verdict: "done",
     outcome: AttemptOutcome.TimedOut,
     body: "late",
   },
   {
-    name: "bytes that are no answer",
+    name: "bytes that are not an HTTP response",
     behave: (s) => s.write("what is this?\r\n\r\n"),
     verdict: "may-have-run",
     outcome: AttemptOutcome.Wrong,
   },
   {
-    name: "another request's answer",
-    behave: (s) => s.write(answer("other", "not yours")),
+    name: "the response to another request",
+    behave: (s) => s.write(response("other", "not yours")),
     verdict: "may-have-run",
     outcome: AttemptOutcome.Wrong,
   },
   {
-    name: "a second answer right behind the first",
-    behave: (s, head) => s.write(answer(echoOf(head), "first") + answer("other", "second")),
+    name: "a second response directly after the first",
+    behave: (s, head) => s.write(response(echoOf(head), "first") + response("other", "second")),
     verdict: "done",
     outcome: AttemptOutcome.Ok,
     body: "first",
   },
   {
-    name: "an error of the target's own",
-    behave: (s, head) => s.write(answer(echoOf(head), "sorry").replace("200 OK", "500 No")),
+    name: "an error response of the target",
+    behave: (s, head) => s.write(response(echoOf(head), "sorry").replace("200 OK", "500 No")),
     verdict: "done",
     outcome: AttemptOutcome.Failed,
     body: "sorry",
   },
   {
-    name: "a target's word that it did not run it",
+    name: "a response that says the request was not run",
     behave: (s) => s.write("HTTP/1.1 503 Full\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n"),
     verdict: "not-run",
     outcome: AttemptOutcome.Shed,
   },
   {
-    name: "another request's refusal",
+    name: "the refusal of another request",
     behave: (s) =>
       s.write(`HTTP/1.1 503 Full\r\n${ECHO}: other\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n`),
     verdict: "may-have-run",
     outcome: AttemptOutcome.Wrong,
   },
   {
-    name: "no answer by the deadline",
+    name: "no response by the deadline",
     behave: () => undefined,
     verdict: "may-have-run",
     outcome: AttemptOutcome.TimedOut,
@@ -188,46 +188,46 @@
 ];
 
 for (const c of cases) {
-  test(`${c.name}: ${c.verdict}`, async (t) => {
+  test(`target sender: ${c.name}: ${c.verdict}`, async (t) => {
     await withTarget(c.behave, async (send) => {
-      const deadlineAt = SystemClock.now() + (c.givenMs ?? 500);
+      const deadlineAt = SystemClock.now() + (c.timeoutMs ?? 500);
       const out = await send(request("a1", { deadlineAt }));
       t.is(out.verdict.kind, c.verdict);
       t.is(out.outcome, c.outcome);
-      t.is(bodyOf(out), c.body);
+      t.is(responseBodyOf(out), c.body);
     });
   });
 }
 
-test("a target that cannot be reached: not-run", async (t) => {
+test("target sender: a target that cannot be reached: not-run", async (t) => {
   const sender = new TargetSender({ dialect: ownDialect, clock: SystemClock, via: "s1" });
   const out = await sender.send(makeTarget("t", { url: "http://127.0.0.1:9" }), request("a1"));
   t.is(out.verdict.kind, "not-run");
 });
 
-test("an extra answer that comes late never reaches the next request", async (t) => {
-  // Story: a target sends a second answer to a lookup some time after the first, just
-  // where the next one's answer is expected. The next clerk must not get it.
+test("target sender: a late extra response is never returned for the next request", async (t) => {
+  // A target sends a second response to a request some time after the first one, where the response to the next request
+  // is expected. The caller of the next request must not receive it.
   const behave = (s: Socket, head: string, n: number) => {
-    s.write(answer(echoOf(head), `for ${echoOf(head)}`));
+    s.write(response(echoOf(head), `for ${echoOf(head)}`));
     if (n === 1) {
-      setTimeout(() => s.write(answer(echoOf(head), "once more")), 60);
+      setTimeout(() => s.write(response(echoOf(head), "once more")), 60);
     }
   };
   await withTarget(behave, async (send) => {
-    t.is(bodyOf(await send(request("a1"))), "for a1");
+    t.is(responseBodyOf(await send(request("a1"))), "for a1");
     await new Promise((r) => setTimeout(r, 30));
     for (let n = 2; n < 12; n++) {
       const out = await send(request(`a${n}`));
-      t.true(out.verdict.kind !== "done" || bodyOf(out) === `for a${n}`);
+      t.true(out.verdict.kind !== "done" || responseBodyOf(out) === `for a${n}`);
       await new Promise((r) => setTimeout(r, 10));
     }
   });
 });
 
-test("after an answer of another request, bookings get connections of their own for a while", async (t) => {
+test("target sender: after a response to another request, non-idempotent requests use separate connections", async (t) => {
   const behave = (s: Socket, head: string, n: number) =>
-    s.write(answer(n === 1 ? "other" : echoOf(head), "ok"));
+    s.write(response(n === 1 ? "other" : echoOf(head), "ok"));
   await withTarget(behave, async (send, target) => {
     await send(request("a1"));
     const before = target.connections;
@@ -239,8 +239,8 @@
   });
 });
 
-test("connections are kept from one request to the next", async (t) => {
-  const behave = (s: Socket, head: string) => s.write(answer(echoOf(head), "ok"));
+test("target sender: consecutive requests reuse one connection", async (t) => {
+  const behave = (s: Socket, head: string) => s.write(response(echoOf(head), "ok"));
   await withTarget(behave, async (send, target) => {
     for (const id of ["a1", "a2", "a3", "a4"]) {
       t.is((await send(request(id))).verdict.kind, "done");
@@ -249,32 +249,32 @@
   });
 });
 
-test("a target that answers before it has read a long body gets nothing else in its place", async (t) => {
-  // Story: a target rejects an upload before it is in, keeps the connection and reads
-  // on. Bytes of the next request would be taken for the rest of the upload.
+test("target sender: after a response to a partly sent request, its connection is not reused", async (t) => {
+  // A target rejects an upload before it has received all of it, keeps the connection open and continues to read. It
+  // would treat the bytes of the next request as the rest of the upload.
   const behave = (s: Socket, head: string) =>
-    s.write(answer(echoOf(head), "no").replace("200 OK", "403 No"));
+    s.write(response(echoOf(head), "no").replace("200 OK", "403 No"));
   await withTarget(behave, async (send, target) => {
     const body = new PassThrough();
     body.write(Buffer.alloc(1000));
-    const over = { method: "POST", body, bodyLength: 1_000_000 };
-    const out = await send(request("a1", over));
+    const overrides = { method: "POST", body, bodyLength: 1_000_000 };
+    const out = await send(request("a1", overrides));
     t.is(out.verdict.kind === "done" && out.verdict.status, 403);
     t.is((await send(request("a2"))).verdict.kind, "done");
     t.is(target.connections, 2);
   });
 });
 
-test("the caller leaves: the connection to the target is closed", async (t) => {
+test("target sender: the connection to the target is closed when the caller disconnects", async (t) => {
   let closed = false;
   const behave = (s: Socket) => {
     s.once("close", () => (closed = true));
   };
   await withTarget(behave, async (send) => {
-    const leave = new AbortController();
-    const out = send(request("a1", { cancelled: leave.signal }));
+    const controller = new AbortController();
+    const out = send(request("a1", { cancelled: controller.signal }));
     setTimeout(() => {
-      leave.abort();
+      controller.abort();
     }, 50);
     t.is((await out).outcome, AttemptOutcome.Cancelled);
     await eventually(() => closed);
@@ -282,8 +282,8 @@
   });
 });
 
-test("headers go on as they came, and what the dialect says in place of what callers sent", async (t) => {
-  const behave = (s: Socket, head: string) => s.write(answer(echoOf(head), "ok"));
+test("target sender: headers are forwarded unchanged, and the dialect's replace forged ones", async (t) => {
+  const behave = (s: Socket, head: string) => s.write(response(echoOf(head), "ok"));
   await withTarget(behave, async (send, target) => {
     const headers = ["Host", "desk.example", "X-Twice", "1", "X-Twice", "2", "X-Echo", "forged"];
     await send(request("a1", { headers }));
