--- a/src/sidecar/forwarding/TargetSender.test.ts
+++ b/src/sidecar/forwarding/TargetSender.test.ts
@@ -51,8 +51,8 @@
   }
 }
 
-const responseBodyOf = (out: ForwardResult) =>
-  "body" in out && Buffer.isBuffer(out.body) ? out.body.toString() : undefined;
+const responseBodyOf = (result: ForwardResult) =>
+  "body" in result && Buffer.isBuffer(result.body) ? result.body.toString() : undefined;
 
 /** Closes a connection with a reset, as a crash of the target does. */
 const reset = (socket: Socket) => {
@@ -191,18 +191,18 @@
   test(`target sender: ${c.name}: ${c.verdict}`, async (t) => {
     await withTarget(c.behave, async (send) => {
       const deadlineAt = SystemClock.now() + (c.timeoutMs ?? 500);
-      const out = await send(request("a1", { deadlineAt }));
-      t.is(out.verdict.kind, c.verdict);
-      t.is(out.outcome, c.outcome);
-      t.is(responseBodyOf(out), c.body);
+      const result = await send(request("a1", { deadlineAt }));
+      t.is(result.verdict.kind, c.verdict);
+      t.is(result.outcome, c.outcome);
+      t.is(responseBodyOf(result), c.body);
     });
   });
 }
 
 test("target sender: a target that cannot be reached: not-run", async (t) => {
   const sender = new TargetSender({ dialect: ownDialect, clock: SystemClock, via: "s1" });
-  const out = await sender.send(makeTarget("t", { url: "http://127.0.0.1:9" }), request("a1"));
-  t.is(out.verdict.kind, "not-run");
+  const result = await sender.send(makeTarget("t", { url: "http://127.0.0.1:9" }), request("a1"));
+  t.is(result.verdict.kind, "not-run");
 });
 
 test("target sender: a late extra response is never returned for the next request", async (t) => {
@@ -218,22 +218,22 @@
     t.is(responseBodyOf(await send(request("a1"))), "for a1");
     await new Promise((r) => setTimeout(r, 30));
     for (let n = 2; n < 12; n++) {
-      const out = await send(request(`a${n}`));
-      t.true(out.verdict.kind !== "done" || responseBodyOf(out) === `for a${n}`);
+      const result = await send(request(`a${n}`));
+      t.true(result.verdict.kind !== "done" || responseBodyOf(result) === `for a${n}`);
       await new Promise((r) => setTimeout(r, 10));
     }
   });
 });
 
-test("target sender: after a response to another request, non-idempotent requests use separate connections", async (t) => {
+test("target sender: after a mismatched response, non-idempotent requests use separate connections", async (t) => {
   const behave = (s: Socket, head: string, n: number) =>
     s.write(response(n === 1 ? "other" : echoOf(head), "ok"));
   await withTarget(behave, async (send, target) => {
     await send(request("a1"));
     const before = target.connections;
     for (const id of ["b1", "b2", "b3"]) {
-      const out = await send(request(id, { method: "POST", idempotent: false }));
-      t.is(out.verdict.kind, "done");
+      const result = await send(request(id, { method: "POST", idempotent: false }));
+      t.is(result.verdict.kind, "done");
     }
     t.is(target.connections - before, 3);
   });
@@ -258,8 +258,8 @@
     const body = new PassThrough();
     body.write(Buffer.alloc(1000));
     const overrides = { method: "POST", body, bodyLength: 1_000_000 };
-    const out = await send(request("a1", overrides));
-    t.is(out.verdict.kind === "done" && out.verdict.status, 403);
+    const result = await send(request("a1", overrides));
+    t.is(result.verdict.kind === "done" && result.verdict.status, 403);
     t.is((await send(request("a2"))).verdict.kind, "done");
     t.is(target.connections, 2);
   });
@@ -272,11 +272,11 @@
   };
   await withTarget(behave, async (send) => {
     const controller = new AbortController();
-    const out = send(request("a1", { cancelled: controller.signal }));
+    const result = send(request("a1", { cancelled: controller.signal }));
     setTimeout(() => {
       controller.abort();
     }, 50);
-    t.is((await out).outcome, AttemptOutcome.Cancelled);
+    t.is((await result).outcome, AttemptOutcome.Cancelled);
     await eventually(() => closed);
     t.true(closed);
   });
