--- a/src/sidecar/forwarding/openBody.ts
+++ b/src/sidecar/forwarding/openBody.ts
@@ -76,7 +76,7 @@
   return { kind: "whole", body: Buffer.concat(chunks) };
 }
 
-/** A body was found to be larger than allowed while it was read. */
+/** Error of a body stream that turns out to be larger than allowed. */
 class TooLargeError extends Error {}
 
 /**
--- a/src/sidecar/hop/GateMessages.ts
+++ b/src/sidecar/hop/GateMessages.ts
@@ -8,7 +8,7 @@
 
 type GateMessage = ProtoTypes["GateMessage"];
 
-/** Receivers of the gate messages from other sidecars. */
+/** Receivers of gate messages: datagrams between sidecars about the load of targets, their slots and retry tokens. */
 interface GateMessagesDeps {
   /** Requests slots from the gates of other sidecars. */
   readonly slotClient: Pick<SlotClient, "receive">;
--- a/src/sidecar/hop/HOP.ts
+++ b/src/sidecar/hop/HOP.ts
@@ -1,7 +1,7 @@
 /**
  * Paths and headers of the HTTP/1.1 hop between two sidecars, at the hop address that each sidecar announces to the
  * others. A request is forwarded unchanged except for these additional headers; reattaching uses a separate path. Slots
- * are requested by datagrams.
+ * are requested by datagrams instead; see SlotClient.
  */
 export const HOP = {
   /** `POST` reattaches to a run whose connection was lost; the response is the one that the run itself would get. */
@@ -30,7 +30,7 @@
   retryAfter: "x-burdockpass-hop-retry-after-ms",
   /** Set to `1` if the verdict is `may-have-run` because the deadline passed. */
   timedOut: "x-burdockpass-hop-timed-out",
-  /** Status code to return to the caller where 503 would be misleading. */
+  /** For the verdict `not-run`: status code to return to the caller where 503 would be misleading. */
   status: "x-burdockpass-hop-status",
   /** Mean number of nested calls per run at the target: `service=mean`, separated by commas. */
   calls: "x-burdockpass-hop-calls",
--- a/src/sidecar/hop/gateWire.ts
+++ b/src/sidecar/hop/gateWire.ts
@@ -24,7 +24,10 @@
   loan: null,
 };
 
-/** Encodes and decodes the datagrams between gates and the sidecars that request slots or retry tokens. */
+/**
+ * Encodes and decodes gate messages: the datagrams between gates, which control admission to their targets, and the
+ * sidecars that request slots, and those by which sidecars borrow retry tokens.
+ */
 export const gateWire = {
   ask: (id: number, request: SlotRequest): GateMessage => ({
     ...EMPTY_MESSAGE,
