--- a/soak/FaultPlayer.ts
+++ b/soak/FaultPlayer.ts
@@ -9,13 +9,13 @@
 const SIGNAL_GAP_MS = 300;
 
 /** What a fault leaves behind counts as a disturbance for so long, ms: connections that were lost are found and opened again. */
-const AFTER_MS = 1000;
+const RECOVERY_MS = 1000;
 
 const TARGET_MODES: Readonly<Partial<Record<FaultKind, FaultMode>>> = {
   [FaultKind.TargetGray]: FaultMode.Gray,
   [FaultKind.TargetSheds]: FaultMode.Sheds,
   [FaultKind.TargetSlow]: FaultMode.Slow,
-  [FaultKind.TargetAnswerLost]: FaultMode.AnswerLost,
+  [FaultKind.TargetResponseLost]: FaultMode.AnswerLost,
   [FaultKind.TargetTruncates]: FaultMode.Truncate,
   [FaultKind.TargetSilent]: FaultMode.Silent,
 };
@@ -37,7 +37,7 @@
   readonly disturbances: Disturbance[] = [];
   readonly drains: { target: string; at: number }[] = [];
   /** Processes that are being stopped or started: a fault that comes to one of them meanwhile is played on it as it is. */
-  readonly #turning = new Map<string, Promise<void>>();
+  readonly #restarts = new Map<string, Promise<void>>();
 
   constructor(fleet: SoakFleet, operator: SoakOperator) {
     this.#fleet = fleet;
@@ -52,8 +52,8 @@
         await this.#playOne(fault);
       }),
     );
-    await Promise.all(this.#turning.values());
-    await this.#operator.settle();
+    await Promise.all(this.#restarts.values());
+    await this.#operator.waitForPending();
   }
 
   async #playOne(fault: PlannedFault): Promise<void> {
@@ -61,18 +61,18 @@
     const mode = TARGET_MODES[kind];
     const link = LINK_MODES[kind];
     if (mode !== undefined) {
-      await this.#holdTarget(on, kind, mode, forS);
+      await this.#faultTarget(on, kind, mode, forS);
     } else if (link !== undefined) {
-      await this.#holdLink(on, kind, link, forS);
+      await this.#faultLink(on, kind, link, forS);
     } else {
-      await this.#signalFault(fault);
+      await this.#playOther(fault);
     }
   }
 
-  async #signalFault({ kind, on, forS }: PlannedFault): Promise<void> {
+  async #playOther({ kind, on, forS }: PlannedFault): Promise<void> {
     switch (kind) {
       case FaultKind.Config:
-        this.#operator.change();
+        this.#operator.applyNext();
         return;
       case FaultKind.TargetDrains:
         await this.#fleet.drain(on);
@@ -80,7 +80,7 @@
         this.disturbances.push({ on, kind, from: this.#fleet.now, until: Infinity });
         return;
       case FaultKind.LinkReset:
-        this.#note(on, kind, 0);
+        this.#recordDisturbance(on, kind, 0);
         this.#fleet.links(on).forEach((link) => {
           link.reset();
         });
@@ -93,32 +93,32 @@
         return;
       case FaultKind.Kill:
       case FaultKind.Wipe:
-        await this.#turn(on, () => this.#kill(on, kind, forS));
+        await this.#runExclusive(on, () => this.#kill(on, kind, forS));
         return;
       case FaultKind.StopTwice:
       case FaultKind.PlannedStop:
-        await this.#turn(on, () => this.#stop(on, kind));
+        await this.#runExclusive(on, () => this.#stop(on, kind));
     }
   }
 
   /** Has one thing at a time done to a process that ends and starts again by it. */
-  async #turn(on: string, act: () => Promise<void>): Promise<void> {
-    const before = this.#turning.get(on);
+  async #runExclusive(on: string, act: () => Promise<void>): Promise<void> {
+    const before = this.#restarts.get(on);
     const turn = (before ?? Promise.resolve()).then(act);
-    this.#turning.set(on, turn);
+    this.#restarts.set(on, turn);
     await turn;
   }
 
-  async #holdTarget(on: string, kind: string, mode: FaultMode, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+  async #faultTarget(on: string, kind: string, mode: FaultMode, forS: number): Promise<void> {
+    const end = this.#beginDisturbance(on, kind);
     await this.#fleet.setFault(on, mode);
     await sleep(forS * 1000);
     await this.#fleet.setFault(on, FaultMode.None);
     end();
   }
 
-  async #holdLink(on: string, kind: string, mode: LinkMode, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+  async #faultLink(on: string, kind: string, mode: LinkMode, forS: number): Promise<void> {
+    const end = this.#beginDisturbance(on, kind);
     const links = this.#fleet.links(on);
     links.forEach((link) => {
       link.mode = mode;
@@ -135,7 +135,7 @@
   }
 
   async #freeze(on: string, kind: string, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+    const end = this.#beginDisturbance(on, kind);
     this.#fleet.signal(on, "SIGSTOP");
     await sleep(forS * 1000);
     this.#fleet.signal(on, "SIGCONT");
@@ -143,18 +143,18 @@
   }
 
   async #kill(on: string, kind: FaultKind, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
-    const ended = this.#fleet.ended(on);
+    const end = this.#beginDisturbance(on, kind);
+    const ended = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGKILL");
     await ended;
     await sleep(forS * 1000);
-    await this.#fleet.startAgain(on, kind === FaultKind.Wipe);
+    await this.#fleet.restart(on, kind === FaultKind.Wipe);
     end();
   }
 
   async #stop(on: string, kind: FaultKind): Promise<void> {
     const at = this.#fleet.now;
-    const ended = this.#fleet.ended(on);
+    const ended = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGTERM");
     if (kind === FaultKind.StopTwice) {
       for (const signal of ["SIGHUP", "SIGTERM"] as const) {
@@ -164,23 +164,23 @@
     }
     const code = await ended;
     this.stops.push({ on, at, endedAt: this.#fleet.now, code });
-    const end = this.#begin(on, "down");
-    await this.#fleet.startAgain(on, false);
+    const end = this.#beginDisturbance(on, "down");
+    await this.#fleet.restart(on, false);
     end();
   }
 
   /** Notes a disturbance from now on; returns what ends it. */
-  #begin(on: string, kind: string): () => void {
+  #beginDisturbance(on: string, kind: string): () => void {
     const from = this.#fleet.now;
     const open = { on, kind, from, until: Infinity };
     this.disturbances.push(open);
     return () => {
-      open.until = this.#fleet.now + AFTER_MS;
+      open.until = this.#fleet.now + RECOVERY_MS;
     };
   }
 
-  #note(on: string, kind: string, forMs: number): void {
+  #recordDisturbance(on: string, kind: string, forMs: number): void {
     const from = this.#fleet.now;
-    this.disturbances.push({ on, kind, from, until: from + forMs + AFTER_MS });
+    this.disturbances.push({ on, kind, from, until: from + forMs + RECOVERY_MS });
   }
 }
--- a/soak/History.ts
+++ b/soak/History.ts
@@ -56,7 +56,7 @@
 }
 
 /** What a look at the route that only one version has showed, through one sidecar. */
-export interface ConfigLook {
+export interface ConfigSample {
   readonly at: number;
   readonly via: string;
   /** Names one life of the process. */
@@ -75,7 +75,7 @@
 }
 
 /** Whether a sidecar said that it is ready, and whether a new connection to it was answered. */
-export interface ReadyLook {
+export interface ReadinessSample {
   readonly at: number;
   readonly via: string;
   readonly isReady: boolean;
@@ -83,7 +83,7 @@
 }
 
 /** What a process used at a moment. */
-export interface UseRecord {
+export interface ResourceSample {
   readonly at: number;
   readonly name: string;
   readonly life: number;
@@ -97,11 +97,11 @@
   readonly targets: readonly TargetRecord[];
   readonly stops: readonly StopRecord[];
   readonly configs: readonly ConfigRecord[];
-  readonly configLooks: readonly ConfigLook[];
-  readonly readyLooks: readonly ReadyLook[];
+  readonly configLooks: readonly ConfigSample[];
+  readonly readyLooks: readonly ReadinessSample[];
   readonly disturbances: readonly Disturbance[];
   readonly drains: readonly { readonly target: string; readonly at: number }[];
-  readonly uses: readonly UseRecord[];
+  readonly uses: readonly ResourceSample[];
   /** End of the last fault, and of the load, ms. */
   readonly faultsEndAt: number;
   readonly endAt: number;
--- a/soak/LinkProxy.ts
+++ b/soak/LinkProxy.ts
@@ -1,6 +1,6 @@
 import { createSocket, type RemoteInfo, type Socket as Datagrams } from "node:dgram";
 import { connect, createServer, type Server, type Socket } from "node:net";
-import type { Draws } from "./seeded.ts";
+import type { Rng } from "./createRng.ts";
 
 /** How a link behaves. */
 export enum LinkMode {
@@ -18,7 +18,7 @@
 const DELAY_MS = 120;
 
 /** Of three datagrams on a lossy link one is lost, and one comes so late, ms. */
-const LATE_MS = 40;
+const LOSSY_DELAY_MS = 40;
 
 const LOOPBACK = "127.0.0.1";
 
@@ -27,32 +27,32 @@
  * through it, and it can hold up, lose, or cut off what passes.
  */
 export class LinkProxy {
-  readonly #to: number;
-  readonly #draws: Draws;
+  readonly #processPort: number;
+  readonly #rng: Rng;
   readonly #server: Server;
-  readonly #datagrams: Datagrams;
+  readonly #udpSocket: Datagrams;
   /** By the address of whoever sends datagrams: the socket that speaks for it. */
-  readonly #senders = new Map<string, Datagrams>();
+  readonly #relays = new Map<string, Datagrams>();
   readonly #sockets = new Set<Socket>();
   mode = LinkMode.Open;
 
   /** @param to the port that the process listens at */
-  constructor(to: number, draws: Draws) {
-    this.#to = to;
-    this.#draws = draws;
+  constructor(to: number, rng: Rng) {
+    this.#processPort = to;
+    this.#rng = rng;
     this.#server = createServer((socket) => {
-      this.#join(socket);
+      this.#connect(socket);
     });
-    this.#datagrams = createSocket("udp4", (message, from) => {
+    this.#udpSocket = createSocket("udp4", (message, from) => {
       this.#onDatagram(message, from);
     });
-    this.#datagrams.on("error", () => undefined);
+    this.#udpSocket.on("error", () => undefined);
   }
 
   async listen(port: number): Promise<void> {
     await new Promise<void>((resolve) => this.#server.listen(port, LOOPBACK, resolve));
     await new Promise<void>((resolve) => {
-      this.#datagrams.bind(port, LOOPBACK, resolve);
+      this.#udpSocket.bind(port, LOOPBACK, resolve);
     });
   }
 
@@ -65,24 +65,24 @@
 
   async close(): Promise<void> {
     this.reset();
-    this.#senders.forEach((s) => s.close());
-    this.#datagrams.close();
+    this.#relays.forEach((s) => s.close());
+    this.#udpSocket.close();
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  #join(outer: Socket): void {
-    const inner = connect(this.#to, LOOPBACK);
-    this.#pass(outer, inner, "in");
-    this.#pass(inner, outer, "out");
+  #connect(outer: Socket): void {
+    const inner = connect(this.#processPort, LOOPBACK);
+    this.#forward(outer, inner, "in");
+    this.#forward(inner, outer, "out");
   }
 
-  #pass(from: Socket, to: Socket, way: "in" | "out"): void {
+  #forward(from: Socket, to: Socket, way: "in" | "out"): void {
     this.#sockets.add(from);
     from.on("data", (chunk) => {
-      this.#later(way, () => to.write(chunk));
+      this.#deliver(way, () => to.write(chunk));
     });
     from.on("end", () => {
-      this.#later(way, () => to.end());
+      this.#deliver(way, () => to.end());
     });
     from.on("error", () => undefined);
     from.on("close", (hadError) => {
@@ -96,7 +96,7 @@
   }
 
   /** Lets something pass now, late, or never. */
-  #later(way: "in" | "out", act: () => void): void {
+  #deliver(way: "in" | "out", act: () => void): void {
     switch (this.mode) {
       case LinkMode.Cut:
         return;
@@ -116,30 +116,30 @@
 
   #onDatagram(message: Buffer, from: RemoteInfo): void {
     const key = `${from.address}:${from.port}`;
-    let speaker = this.#senders.get(key);
+    let speaker = this.#relays.get(key);
     if (!speaker) {
       speaker = createSocket("udp4", (reply) => {
-        this.#laterDatagram("out", () => {
-          this.#datagrams.send(reply, from.port, from.address);
+        this.#deliverDatagram("out", () => {
+          this.#udpSocket.send(reply, from.port, from.address);
         });
       });
       speaker.on("error", () => undefined);
-      this.#senders.set(key, speaker);
+      this.#relays.set(key, speaker);
     }
     const { send } = { send: speaker.send.bind(speaker) };
-    this.#laterDatagram("in", () => {
-      send(message, this.#to, LOOPBACK);
+    this.#deliverDatagram("in", () => {
+      send(message, this.#processPort, LOOPBACK);
     });
   }
 
-  #laterDatagram(way: "in" | "out", act: () => void): void {
+  #deliverDatagram(way: "in" | "out", act: () => void): void {
     if (this.mode !== LinkMode.Lossy) {
-      this.#later(way, act);
+      this.#deliver(way, act);
       return;
     }
-    const fate = this.#draws.int(1, 3);
+    const fate = this.#rng.int(1, 3);
     if (fate === 2) {
-      setTimeout(act, LATE_MS);
+      setTimeout(act, LOSSY_DELAY_MS);
     } else if (fate === 3) {
       act();
     }
--- a/soak/CALL_MARK.ts
+++ b/soak/NESTED_CALL_SEPARATOR.ts
@@ -1,2 +1,2 @@
 /** Stands in the tag of a call between that of the request whose run made it and what tells it from others. */
-export const CALL_MARK = "~";
+export const NESTED_CALL_SEPARATOR = "~";
--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -1,11 +1,11 @@
 import { Agent, request, type IncomingMessage } from "node:http";
 import type { CallRecord } from "./History.ts";
-import { seeded, type Draws } from "./seeded.ts";
+import { createRng, type Rng } from "./createRng.ts";
 import type { SoakFleet } from "./SoakFleet.ts";
 import { CallKind, type SoakPlan } from "./SoakPlan.ts";
 
 /** Bodies of answers that are asked for, bytes: most are small, some go out in many pieces. */
-const ANSWER_BYTES = [0, 0, 200, 20_000, 200_000];
+const RESPONSE_BYTES = [0, 0, 200, 20_000, 200_000];
 
 /** Body of an upload, bytes. */
 const UPLOAD_BYTES = 300_000;
@@ -14,11 +14,11 @@
 const GIVE_UP_MS = 4000;
 
 /** A keyed booking without a clear outcome is sent again after this long, ms, and so many times. */
-const RESEND_MS = 400;
-const RESENDS = 3;
+const RESEND_DELAY_MS = 400;
+const MAX_RESENDS = 3;
 
 /** Requests in a row that a caller sends without waiting, now and then. */
-const PIPELINED = 3;
+const PIPELINE_LENGTH = 3;
 
 const SERVICE_OF: Readonly<Record<CallKind, string>> = {
   [CallKind.Check]: "desk",
@@ -29,10 +29,10 @@
 };
 
 /** What one exchange came to. */
-type Seen = Pick<CallRecord, "status" | "verdict" | "bodyTag" | "isWhole" | "hadBegun">;
+type CallOutcome = Pick<CallRecord, "status" | "verdict" | "bodyTag" | "isWhole" | "hadBegun">;
 
 /** What a caller sends. */
-interface Wanted {
+interface CallSpec {
   readonly tag: string;
   readonly kind: CallKind;
   readonly bytes: number;
@@ -44,10 +44,10 @@
   readonly #fleet: SoakFleet;
   readonly #plan: SoakPlan;
   readonly #isReady: (vm: string) => boolean;
-  readonly #draws: Draws;
+  readonly #rng: Rng;
   /** Connections are kept for as long as the process at the other end is there. */
   readonly #agent = new Agent({ keepAlive: true, maxFreeSockets: 64 });
-  readonly #open = new Set<Promise<void>>();
+  readonly #pending = new Set<Promise<void>>();
   readonly #timers = new Set<NodeJS.Timeout>();
   readonly records: CallRecord[] = [];
   #count = 0;
@@ -56,7 +56,7 @@
     this.#fleet = fleet;
     this.#plan = plan;
     this.#isReady = isReady;
-    this.#draws = seeded(plan.seed + 2);
+    this.#rng = createRng(plan.seed + 2);
   }
 
   /** Sends until the plan's time is over; resolves once all have their answers. */
@@ -68,13 +68,13 @@
     this.#timers.forEach((timer) => {
       clearTimeout(timer);
     });
-    await Promise.all(this.#open);
+    await Promise.all(this.#pending);
     this.#agent.destroy();
   }
 
   #sendNext(kind: CallKind): void {
     const rate = this.#plan.rates[kind];
-    const waitMs = (-Math.log(1 - this.#draws.between(0, 0.999)) * 1000) / Math.max(0.01, rate);
+    const waitMs = (-Math.log(1 - this.#rng.between(0, 0.999)) * 1000) / Math.max(0.01, rate);
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
       this.#send(kind);
@@ -84,11 +84,11 @@
   }
 
   #send(kind: CallKind): void {
-    const via = this.#draws.pick(this.#readyVms());
-    const isPipelined = kind === CallKind.Lookup && this.#draws.int(1, 12) === 1;
-    const done = isPipelined ? this.#callInARow(via) : this.#call(via, this.#want(kind));
-    this.#open.add(done);
-    void done.finally(() => this.#open.delete(done));
+    const via = this.#rng.pick(this.#readyVms());
+    const isPipelined = kind === CallKind.Lookup && this.#rng.int(1, 12) === 1;
+    const done = isPipelined ? this.#callPipelined(via) : this.#call(via, this.#nextCall(kind));
+    this.#pending.add(done);
+    void done.finally(() => this.#pending.delete(done));
   }
 
   #readyVms(): readonly string[] {
@@ -96,37 +96,37 @@
     return ready.length > 0 ? ready : this.#fleet.vms;
   }
 
-  #want(kind: CallKind): Wanted {
+  #nextCall(kind: CallKind): CallSpec {
     const tag = `${kind}-${++this.#count}`;
     const key = kind === CallKind.KeyedBooking ? tag : undefined;
-    return { tag, kind, bytes: this.#draws.pick(ANSWER_BYTES), key };
+    return { tag, kind, bytes: this.#rng.pick(RESPONSE_BYTES), key };
   }
 
   /** Several lookups on one connection, without waiting for answers. */
-  async #callInARow(via: string): Promise<void> {
+  async #callPipelined(via: string): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    const wanted = Array.from({ length: PIPELINED }, () => this.#want(CallKind.Lookup));
+    const wanted = Array.from({ length: PIPELINE_LENGTH }, () => this.#nextCall(CallKind.Lookup));
     await Promise.all(wanted.map((want) => this.#exchange(via, want, agent, undefined)));
     agent.destroy();
   }
 
-  async #call(via: string, want: Wanted): Promise<void> {
+  async #call(via: string, want: CallSpec): Promise<void> {
     let last = await this.#exchange(via, want, this.#agent, undefined);
-    for (let n = 1; want.key !== undefined && n <= RESENDS && !isFinal(last); n++) {
-      await new Promise((resolve) => setTimeout(resolve, RESEND_MS));
+    for (let n = 1; want.key !== undefined && n <= MAX_RESENDS && !isFinal(last); n++) {
+      await new Promise((resolve) => setTimeout(resolve, RESEND_DELAY_MS));
       const again = { ...want, tag: `${want.tag}.${n}` };
-      last = await this.#exchange(this.#draws.pick(this.#readyVms()), again, this.#agent, want.tag);
+      last = await this.#exchange(this.#rng.pick(this.#readyVms()), again, this.#agent, want.tag);
     }
   }
 
   async #exchange(
     via: string,
-    want: Wanted,
+    want: CallSpec,
     agent: Agent,
     resendOf: string | undefined,
-  ): Promise<Seen> {
+  ): Promise<CallOutcome> {
     const sentAt = this.#fleet.now;
-    const seen = await this.#ask(this.#fleet.callerPort(via), want, agent);
+    const seen = await this.#request(this.#fleet.callerPort(via), want, agent);
     const { tag, kind } = want;
     const service = SERVICE_OF[kind];
     const endedAt = this.#fleet.now;
@@ -134,7 +134,7 @@
     return seen;
   }
 
-  #ask(port: number, { tag, kind, bytes, key }: Wanted, agent: Agent): Promise<Seen> {
+  #request(port: number, { tag, kind, bytes, key }: CallSpec, agent: Agent): Promise<CallOutcome> {
     const isBooking = SERVICE_OF[kind] === "bookings";
     const headers: Record<string, string> = { "x-caller-tag": tag };
     if (key !== undefined) {
@@ -151,7 +151,7 @@
     return new Promise((resolve) => {
       let isOver = false;
       let hadBegun = false;
-      const end = (seen: Seen) => {
+      const end = (seen: CallOutcome) => {
         if (!isOver) {
           isOver = true;
           clearTimeout(timer);
@@ -159,15 +159,15 @@
         }
       };
       const nothing = () => {
-        end({ ...NOTHING, hadBegun });
+        end({ ...NO_RESPONSE, hadBegun });
       };
       const req = request(options, (res) => {
         hadBegun = true;
-        readSeen(res, bytes).then(end, nothing);
+        readOutcome(res, bytes).then(end, nothing);
       });
       const timer = setTimeout(() => {
         // Left by its caller: neither cut nor answered.
-        end({ ...NOTHING, verdict: "left", hadBegun });
+        end({ ...NO_RESPONSE, verdict: "left", hadBegun });
         req.destroy();
       }, GIVE_UP_MS);
       req.on("error", nothing);
@@ -176,7 +176,7 @@
   }
 }
 
-const NOTHING: Seen = {
+const NO_RESPONSE: CallOutcome = {
   status: 0,
   verdict: "",
   bodyTag: undefined,
@@ -185,7 +185,7 @@
 };
 
 /** Reads an answer to its end; rejects when it breaks off. */
-async function readSeen(res: IncomingMessage, bytes: number): Promise<Seen> {
+async function readOutcome(res: IncomingMessage, bytes: number): Promise<CallOutcome> {
   const chunks: Buffer[] = [];
   for await (const chunk of res as AsyncIterable<Buffer>) {
     chunks.push(chunk);
@@ -205,6 +205,6 @@
 }
 
 /** Nothing is to be learned by sending it again. */
-function isFinal({ status, verdict }: Seen): boolean {
+function isFinal({ status, verdict }: CallOutcome): boolean {
   return status === 200 || (verdict === "may-have-run" && status !== 0);
 }
--- a/soak/SoakFleet.ts
+++ b/soak/SoakFleet.ts
@@ -5,45 +5,45 @@
 import { LocalFleet, type SidecarAddresses } from "../scripts/LocalFleet.ts";
 import type { FaultMode } from "../src/standin/FaultMode.ts";
 import { STOP_GRACE_MS } from "./checks/stopsEndInTime.ts";
-import type { FleetBudget } from "./checks/retryBudget.ts";
-import type { TargetRecord, UseRecord } from "./History.ts";
+import type { FleetRetryBudget } from "./checks/retryBudget.ts";
+import type { TargetRecord, ResourceSample } from "./History.ts";
 import { LinkProxy } from "./LinkProxy.ts";
 import { vmNames } from "./planSoak.ts";
-import { seeded, type Draws } from "./seeded.ts";
+import { createRng, type Rng } from "./createRng.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
 /** The fleet's retry budget: a short window, so that a run holds many. */
-export const SOAK_BUDGET: FleetBudget = { ratio: 0.2, windowMs: 5000, slack: 20 };
+export const SOAK_BUDGET: FleetRetryBudget = { ratio: 0.2, windowMs: 5000, slack: 20 };
 
 /** Callers are sent elsewhere once two looks, half a second apart, have missed. */
-const CALLERS_LEAVE_MS = 1300;
+const CALLERS_DRAIN_MS = 1300;
 
 /** Share of the desk's runs that call the ledger. */
-const CALL_SHARE = "0.7";
+const NESTED_CALL_SHARE = "0.7";
 
 /** Long enough for a clean end after the longest run. */
-const END_MS = 500;
+const EXIT_WAIT_MS = 500;
 
 /** The processes of a run, and what can be done to them from outside. */
 export class SoakFleet {
   readonly #plan: SoakPlan;
-  readonly #draws: Draws;
+  readonly #rng: Rng;
   readonly #fleet: LocalFleet;
   readonly #links = new Map<string, LinkProxy[]>();
   /** Lives of each process so far. */
-  readonly #lives = new Map<string, number>();
+  readonly #incarnations = new Map<string, number>();
   #startedAt = 0;
 
   constructor(plan: SoakPlan) {
     this.#plan = plan;
-    this.#draws = seeded(plan.seed + 1);
+    this.#rng = createRng(plan.seed + 1);
     const { ratio, windowMs, slack } = SOAK_BUDGET;
     this.#fleet = new LocalFleet({
       controls: plan.controls,
-      advertise: (id, addresses) => this.#link(id, addresses),
+      advertise: (id, addresses) => this.#openLinks(id, addresses),
       sidecarSettings: {
         retryBudget: { ratio, windowMs, slack },
-        stop: { callersMs: CALLERS_LEAVE_MS, graceMs: STOP_GRACE_MS },
+        stop: { callersMs: CALLERS_DRAIN_MS, graceMs: STOP_GRACE_MS },
         gossipIntervalMs: 500,
       },
       standInArgs: (id, ports) => this.#standInArgs(id, ports),
@@ -82,7 +82,7 @@
   }
 
   /** Waits until every sidecar knows every target; the load begins now. */
-  async settle(version: number): Promise<void> {
+  async startLoad(version: number): Promise<void> {
     await this.#fleet.waitForVersion(version);
     await this.#fleet.waitForTargets(this.vms.length);
     this.#startedAt = Date.now();
@@ -96,8 +96,8 @@
     return this.#fleet.sidecars.get(vm)?.ports.admin ?? 0;
   }
 
-  life(vm: string): number {
-    return this.#lives.get(vm) ?? 1;
+  incarnation(vm: string): number {
+    return this.#incarnations.get(vm) ?? 1;
   }
 
   links(vm: string): readonly LinkProxy[] {
@@ -109,29 +109,29 @@
   }
 
   /** Whether the process has not ended. */
-  isUp(name: string): boolean {
+  isRunning(name: string): boolean {
     const proc = this.#process(name);
     return proc?.exitCode === null && proc.signalCode === null;
   }
 
   /** Resolves with the exit code once the process has ended. */
-  async ended(name: string): Promise<number | null> {
+  async waitForExit(name: string): Promise<number | null> {
     const proc = this.#process(name);
-    if (!proc || !this.isUp(name)) {
+    if (!proc || !this.isRunning(name)) {
       return proc?.exitCode ?? null;
     }
     return new Promise((resolve) => proc.once("exit", resolve));
   }
 
   /** Starts a process again, as it was set up. */
-  async startAgain(name: string, isWiped: boolean): Promise<void> {
+  async restart(name: string, isWiped: boolean): Promise<void> {
     if (isWiped) {
       rmSync(join(this.dir, this.isControl(name) ? name : `sidecar-${name}`), {
         recursive: true,
         force: true,
       });
     }
-    this.#lives.set(name, this.life(name) + 1);
+    this.#incarnations.set(name, this.incarnation(name) + 1);
     await (this.isControl(name)
       ? this.#fleet.restartControl(name)
       : this.#fleet.restartSidecar(name));
@@ -143,12 +143,12 @@
 
   /** Has a stand-in misbehave, or not any more. */
   async setFault(vm: string, mode: FaultMode): Promise<void> {
-    await this.#tellStandIn(vm, "fault", { mode, lies: true });
+    await this.#postToStandIn(vm, "fault", { mode, lies: true });
   }
 
   /** Has a stand-in say that it leaves. */
   async drain(vm: string): Promise<void> {
-    await this.#tellStandIn(vm, "drain", {});
+    await this.#postToStandIn(vm, "drain", {});
   }
 
   /** What the stand-ins wrote down. */
@@ -165,19 +165,19 @@
   }
 
   /** What each process of the product uses now. */
-  uses(): UseRecord[] {
+  sampleResources(): ResourceSample[] {
     const names = [...this.vms, ...this.#fleet.controls.keys()];
     return names.flatMap((name) => {
       const pid = this.#process(name)?.pid;
       const proc = `/proc/${pid ?? 0}`;
-      if (!this.isUp(name) || !existsSync(proc)) {
+      if (!this.isRunning(name) || !existsSync(proc)) {
         return [];
       }
       try {
         const pages = Number(readFileSync(`${proc}/statm`, "utf8").split(" ")[1]);
         const rssMb = Math.round((pages * 4096) / 2 ** 20);
         const descriptors = readdirSync(`${proc}/fd`).length;
-        return [{ at: this.now, name, life: this.life(name), rssMb, descriptors }];
+        return [{ at: this.now, name, life: this.incarnation(name), rssMb, descriptors }];
       } catch {
         return []; // It has ended in between.
       }
@@ -189,13 +189,13 @@
       this.signal(name, "SIGCONT");
     }
     await this.#fleet.stop();
-    await new Promise((resolve) => setTimeout(resolve, END_MS));
+    await new Promise((resolve) => setTimeout(resolve, EXIT_WAIT_MS));
     await Promise.all([...this.#links.values()].flat().map((link) => link.close()));
   }
 
-  async #link(id: string, { peer, hop }: SidecarAddresses): Promise<SidecarAddresses> {
+  async #openLinks(id: string, { peer, hop }: SidecarAddresses): Promise<SidecarAddresses> {
     const open = async (address: string) => {
-      const link = new LinkProxy(Number(address.split(":").at(-1)), this.#draws);
+      const link = new LinkProxy(Number(address.split(":").at(-1)), this.#rng);
       const port = await freePort();
       await link.listen(port);
       return { link, address: `127.0.0.1:${port}` };
@@ -210,12 +210,12 @@
     const calls = [
       "--call-path=/ledger/entry",
       `--call-port=${ports.caller ?? 0}`,
-      `--call-share=${CALL_SHARE}`,
+      `--call-share=${NESTED_CALL_SHARE}`,
     ];
     return id.startsWith("desk") ? [journal, ...calls] : [journal];
   }
 
-  async #tellStandIn(vm: string, path: string, body: object): Promise<void> {
+  async #postToStandIn(vm: string, path: string, body: object): Promise<void> {
     const port = this.#fleet.targets.get(vm)?.ports.http ?? 0;
     const init = { method: "POST", body: JSON.stringify(body) };
     await fetch(`http://127.0.0.1:${port}/_standin/${path}`, init).catch(() => undefined);
--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -9,7 +9,7 @@
 export class SoakOperator {
   readonly #fleet: SoakFleet;
   readonly #plan: SoakPlan;
-  readonly #open = new Set<Promise<void>>();
+  readonly #pending = new Set<Promise<void>>();
   readonly #records = new Map<number, ConfigRecord>();
   #changes = 0;
 
@@ -30,7 +30,7 @@
   }
 
   /** Applies the first document; resolves with the version that it became. */
-  async first(): Promise<number> {
+  async applyFirst(): Promise<number> {
     await this.#apply();
     const [accepted] = this.accepted;
     if (!accepted) {
@@ -40,14 +40,14 @@
   }
 
   /** Sends a further change, beside those that are under way. */
-  change(): void {
+  applyNext(): void {
     const done = this.#apply();
-    this.#open.add(done);
-    void done.finally(() => this.#open.delete(done));
+    this.#pending.add(done);
+    void done.finally(() => this.#pending.delete(done));
   }
 
-  async settle(): Promise<void> {
-    await Promise.all(this.#open);
+  async waitForPending(): Promise<void> {
+    await Promise.all(this.#pending);
   }
 
   async #apply(): Promise<void> {
--- a/soak/SoakPlan.ts
+++ b/soak/SoakPlan.ts
@@ -43,7 +43,7 @@
   /** The target takes ten times as long. */
   TargetSlow = "target-slow",
   /** The target runs what it gets, and its answer is lost. */
-  TargetAnswerLost = "target-answer-lost",
+  TargetResponseLost = "target-answer-lost",
   /** The target breaks its answers off. */
   TargetTruncates = "target-truncates",
   /** The target accepts requests and never answers. */
--- a/soak/checks/Check.ts
+++ b/soak/checks/Check.ts
@@ -1,23 +1,23 @@
 import type { History } from "../History.ts";
 
-/** A promise that was broken. */
-export interface Finding {
+/** A guarantee that was broken. */
+export interface Violation {
   /** When, ms after the start of the load. */
   readonly at: number;
   readonly what: string;
 }
 
-/** What holding a history against a promise came to. */
-export interface Checked {
-  /** How often the promise was put to the test. */
+/** What holding a history against a guarantee came to. */
+export interface CheckResult {
+  /** How often the guarantee was put to the test. */
   readonly count: number;
-  readonly findings: readonly Finding[];
+  readonly violations: readonly Violation[];
 }
 
-/** A promise of the product, and how a history is held against it. */
+/** A guarantee of the product, and how a history is held against it. */
 export interface Check {
-  readonly promise: string;
+  readonly guarantee: string;
   /** It has a bound in time, which a machine with more work than cores may miss without a fault of the product. */
   readonly isTimed: boolean;
-  readonly run: (history: History) => Checked;
+  readonly run: (history: History) => CheckResult;
 }
--- a/soak/checks/allChecks.ts
+++ b/soak/checks/allChecks.ts
@@ -1,29 +1,29 @@
 import type { Check } from "./Check.ts";
-import { documentHolds } from "./documentHolds.ts";
-import { floorIsKept } from "./floorIsKept.ts";
-import { leavingGetsNothing } from "./leavingGetsNothing.ts";
-import { notRunIsTrue } from "./notRunIsTrue.ts";
-import { nothingLeaks } from "./nothingLeaks.ts";
-import { ownWholeAnswers } from "./ownWholeAnswers.ts";
-import { readyTakesCallers } from "./readyTakesCallers.ts";
-import { retryBudget, type FleetBudget } from "./retryBudget.ts";
-import { runsOnce } from "./runsOnce.ts";
-import { servesAgain } from "./servesAgain.ts";
-import { stopsCutNothing } from "./stopsCutNothing.ts";
+import { documentIsApplied } from "./documentIsApplied.ts";
+import { healthyStayInUse } from "./healthyStayInUse.ts";
+import { drainingGetsNoWork } from "./drainingGetsNoWork.ts";
+import { notRunNeverRan } from "./notRunNeverRan.ts";
+import { resourceUseIsBounded } from "./resourceUseIsBounded.ts";
+import { responsesMatchRequests } from "./responsesMatchRequests.ts";
+import { readyAcceptsConnections } from "./readyAcceptsConnections.ts";
+import { retryBudget, type FleetRetryBudget } from "./retryBudget.ts";
+import { runsAtMostOnce } from "./runsAtMostOnce.ts";
+import { recoversAfterFaults } from "./recoversAfterFaults.ts";
+import { stopsAbortNothing } from "./stopsAbortNothing.ts";
 import { stopsEndInTime } from "./stopsEndInTime.ts";
 
-/** Every promise that a run is held against. */
-export const allChecks = (budget: FleetBudget): readonly Check[] => [
-  ownWholeAnswers,
-  notRunIsTrue,
-  runsOnce,
+/** Every guarantee that a run is held against. */
+export const allChecks = (budget: FleetRetryBudget): readonly Check[] => [
+  responsesMatchRequests,
+  notRunNeverRan,
+  runsAtMostOnce,
   retryBudget(budget),
-  floorIsKept,
-  leavingGetsNothing,
-  stopsCutNothing,
+  healthyStayInUse,
+  drainingGetsNoWork,
+  stopsAbortNothing,
   stopsEndInTime,
-  documentHolds,
-  readyTakesCallers,
-  servesAgain,
-  nothingLeaks,
+  documentIsApplied,
+  readyAcceptsConnections,
+  recoversAfterFaults,
+  resourceUseIsBounded,
 ];
--- a/soak/checks/checks.test.ts
+++ b/soak/checks/checks.test.ts
@@ -81,14 +81,14 @@
 });
 
 const cases: readonly {
-  promise: RegExp;
-  /** A history that keeps the promise, though nearly not... */
+  guarantee: RegExp;
+  /** A history that keeps the guarantee, though nearly not... */
   kept: Partial<History>;
   /** ...and ones that break it. */
   broken: readonly Partial<History>[];
 }[] = [
   {
-    promise: /own whole answer/,
+    guarantee: /own whole answer/,
     kept: { calls: [call({}), call({ tag: "k.1", resendOf: "k", bodyTag: "k" })] },
     broken: [
       { calls: [call({ bodyTag: "booking-2" })] },
@@ -97,7 +97,7 @@
     ],
   },
   {
-    promise: /"not run" is true/,
+    guarantee: /"not run" is true/,
     kept: {
       calls: [
         call({ status: 503, verdict: "not-run" }),
@@ -108,7 +108,7 @@
     broken: [{ calls: [call({ status: 503, verdict: "not-run" })], targets: [reached({})] }],
   },
   {
-    promise: /at most once/,
+    guarantee: /at most once/,
     kept: {
       calls: [call({}), call({ tag: "check-1", kind: CallKind.Check })],
       targets: [reached({}), ...many(2, () => reached({ tag: "check-1" }))],
@@ -122,7 +122,7 @@
     ],
   },
   {
-    promise: /retry budget/,
+    guarantee: /retry budget/,
     kept: {
       calls: many(10, (n) => call({ tag: `c${n}` })),
       targets: many(5, () => reached({ tag: "c0", event: "arrived" })),
@@ -143,7 +143,7 @@
     ],
   },
   {
-    promise: /sound targets stay in use/,
+    guarantee: /sound targets stay in use/,
     kept: {
       calls: shortOfRoom,
       targets: usedOf(7),
@@ -156,7 +156,7 @@
     ],
   },
   {
-    promise: /leaving target/,
+    guarantee: /leaving target/,
     kept: {
       drains: [{ target: "bookings-0", at: 10_000 }],
       targets: [reached({ event: "arrived", at: 11_900 })],
@@ -169,7 +169,7 @@
     ],
   },
   {
-    promise: /stop cuts/,
+    guarantee: /stop cuts/,
     kept: {
       stops: [stop],
       calls: [
@@ -183,12 +183,12 @@
     ],
   },
   {
-    promise: /stop ends/,
+    guarantee: /stop ends/,
     kept: { stops: [stop] },
     broken: [{ stops: [{ ...stop, endedAt: 18_000 }] }, { stops: [{ ...stop, code: 1 }] }],
   },
   {
-    promise: /accepted document/,
+    guarantee: /accepted document/,
     kept: {
       configs: [accepted(1, 1, 1000), accepted(2, 2, 10_000)],
       configLooks: [
@@ -210,7 +210,7 @@
     ],
   },
   {
-    promise: /takes new connections/,
+    guarantee: /takes new connections/,
     kept: {
       readyLooks: many(7, (n) => ({
         at: n * 500,
@@ -231,14 +231,14 @@
     ],
   },
   {
-    promise: /after the last fault/,
+    guarantee: /after the last fault/,
     kept: {
       calls: many(10, (n) => call({ sentAt: 29_000, status: n === 0 ? 503 : 200 })),
     },
     broken: [{ calls: many(10, (n) => call({ sentAt: 29_000, status: n < 2 ? 503 : 200 })) }],
   },
   {
-    promise: /outgrows/,
+    guarantee: /outgrows/,
     kept: { uses: [{ at: 0, name: "desk-0", life: 1, rssMb: 350, descriptors: 90 }] },
     broken: [
       { uses: [{ at: 0, name: "desk-0", life: 1, rssMb: 351, descriptors: 90 }] },
@@ -249,17 +249,17 @@
 
 const checks = allChecks(BUDGET);
 
-test("checks: every promise has a history that breaks it", (t) => {
-  const covered = checks.filter((c) => cases.some(({ promise }) => promise.test(c.promise)));
+test("checks: every guarantee has a history that breaks it", (t) => {
+  const covered = checks.filter((c) => cases.some(({ guarantee }) => guarantee.test(c.guarantee)));
   t.is(covered.length, checks.length);
 });
 
-for (const { promise, kept, broken } of cases) {
-  const check = checks.find((c) => promise.test(c.promise));
-  test(`checks: "${check?.promise ?? ""}" is found broken, and only then`, (t) => {
-    t.deepEqual(check?.run({ ...EMPTY, ...kept }).findings, []);
+for (const { guarantee, kept, broken } of cases) {
+  const check = checks.find((c) => guarantee.test(c.guarantee));
+  test(`checks: "${check?.guarantee ?? ""}" is found broken, and only then`, (t) => {
+    t.deepEqual(check?.run({ ...EMPTY, ...kept }).violations, []);
     for (const history of broken) {
-      t.true((check?.run({ ...EMPTY, ...history }).findings.length ?? 0) > 0);
+      t.true((check?.run({ ...EMPTY, ...history }).violations.length ?? 0) > 0);
     }
   });
 }
--- a/soak/checks/leavingGetsNothing.ts
+++ b/soak/checks/drainingGetsNoWork.ts
@@ -1,15 +1,15 @@
 import type { Check } from "./Check.ts";
 
-/** A target that has said that it leaves gets no new work from then on, ms; the product's promise is "within seconds". */
+/** A target that has said that it leaves gets no new work from then on, ms; the product's guarantee is "within seconds". */
 const WITHIN_MS = 2000;
 
 /** A target that leaves gets no new work within seconds. */
-export const leavingGetsNothing: Check = {
-  promise: "a leaving target gets no new work within 2 s",
+export const drainingGetsNoWork: Check = {
+  guarantee: "a leaving target gets no new work within 2 s",
   isTimed: true,
   run: ({ drains, targets }) => ({
     count: drains.length,
-    findings: drains.flatMap(({ target, at }) =>
+    violations: drains.flatMap(({ target, at }) =>
       targets
         .filter((t) => t.target === target && t.event === "arrived" && t.at > at + WITHIN_MS)
         .slice(0, 1)
--- a/soak/checks/notRunIsTrue.ts
+++ b/soak/checks/notRunNeverRan.ts
@@ -1,8 +1,8 @@
 import type { Check } from "./Check.ts";
 
 /** A request that its caller was told has not run did not run, and does not later. */
-export const notRunIsTrue: Check = {
-  promise: '"not run" is true',
+export const notRunNeverRan: Check = {
+  guarantee: '"not run" is true',
   isTimed: false,
   run: ({ calls, targets }) => {
     const ran = new Set(targets.filter((t) => t.event === "ran").map((t) => t.tag));
@@ -11,7 +11,7 @@
     const wrong = refused.filter((c) => ran.has(c.tag));
     return {
       count: refused.length,
-      findings: wrong.map((c) => ({
+      violations: wrong.map((c) => ({
         at: c.endedAt,
         what: `${c.tag} via ${c.via} was refused with ${c.status} as not run, and ran`,
       })),
--- a/soak/checks/ownWholeAnswers.ts
+++ b/soak/checks/responsesMatchRequests.ts
@@ -1,8 +1,8 @@
 import type { Check } from "./Check.ts";
 
 /** Each caller gets its own whole answer: one that looks complete is, and is that request's. */
-export const ownWholeAnswers: Check = {
-  promise: "every caller gets its own whole answer",
+export const responsesMatchRequests: Check = {
+  guarantee: "every caller gets its own whole answer",
   isTimed: false,
   run: ({ calls }) => {
     const answered = calls.filter((c) => c.status === 200);
@@ -11,7 +11,7 @@
     const wrong = answered.filter((c) => !c.isWhole || rootOf(c.bodyTag) !== rootOf(c.tag));
     return {
       count: answered.length,
-      findings: wrong.map((c) => ({
+      violations: wrong.map((c) => ({
         at: c.endedAt,
         what: `${c.tag} via ${c.via} got the answer of ${c.bodyTag ?? "nobody"}${c.isWhole ? "" : ", not whole"}`,
       })),
--- a/soak/checks/retryBudget.ts
+++ b/soak/checks/retryBudget.ts
@@ -1,9 +1,9 @@
-import type { Check, Finding } from "./Check.ts";
-import { CALL_MARK } from "../CALL_MARK.ts";
+import type { Check, Violation } from "./Check.ts";
+import { NESTED_CALL_SEPARATOR } from "../NESTED_CALL_SEPARATOR.ts";
 import type { CallRecord, TargetRecord } from "../History.ts";
 
 /** What the fleet may send beside callers' own requests; the settings of the soak's fleets. */
-export interface FleetBudget {
+export interface FleetRetryBudget {
   readonly ratio: number;
   readonly windowMs: number;
   readonly slack: number;
@@ -13,19 +13,19 @@
  * Extra arrivals at a service stay within the retry budget in every window, over the whole fleet, restarts
  * included. Calls made by a run that repeats another are extra too.
  */
-export function retryBudget(budget: FleetBudget): Check {
+export function retryBudget(budget: FleetRetryBudget): Check {
   return {
-    promise: "repeats stay within the retry budget",
+    guarantee: "repeats stay within the retry budget",
     isTimed: false,
     run: ({ calls, targets }) => {
       const services = [...new Set(targets.map((t) => t.service))];
-      const extras = extrasOf(targets);
-      const findings = services.flatMap((service) => {
+      const extras = extraArrivals(targets);
+      const violations = services.flatMap((service) => {
         const requests = calls.filter((c) => c.service === service).map((c) => c.sentAt);
-        const worst = worstOf(extras.get(service) ?? [], requests, budget);
-        return worst && worst.count > worst.allowed ? [toFinding(service, worst)] : [];
+        const worst = worstWindow(extras.get(service) ?? [], requests, budget);
+        return worst && worst.count > worst.allowed ? [toViolation(service, worst)] : [];
       });
-      return { count: [...extras.values()].flat().length, findings };
+      return { count: [...extras.values()].flat().length, violations };
     },
   };
 }
@@ -38,7 +38,7 @@
 }
 
 /** When extras arrived, by service. */
-function extrasOf(targets: readonly TargetRecord[]): Map<string, number[]> {
+function extraArrivals(targets: readonly TargetRecord[]): Map<string, number[]> {
   // Looks at the document in force have no tag: each is a request of its own.
   const arrivals = targets
     .filter((t) => t.event === "arrived" && t.tag !== "")
@@ -48,7 +48,7 @@
   for (const { tag, at, service } of arrivals) {
     const before = seen.get(tag) ?? 0;
     seen.set(tag, before + 1);
-    const [parent = ""] = tag.split(CALL_MARK);
+    const [parent = ""] = tag.split(NESTED_CALL_SEPARATOR);
     const isOfRepeat = tag !== parent && (seen.get(parent) ?? 0) > 1;
     if (before > 0 || isOfRepeat) {
       extras.set(service, [...(extras.get(service) ?? []), at]);
@@ -57,10 +57,10 @@
   return extras;
 }
 
-function worstOf(
+function worstWindow(
   extras: readonly number[],
   requests: readonly CallRecord["sentAt"][],
-  { ratio, windowMs, slack }: FleetBudget,
+  { ratio, windowMs, slack }: FleetRetryBudget,
 ): Window | undefined {
   const within = (list: readonly number[], from: number) =>
     list.filter((at) => from <= at && at < from + windowMs).length;
@@ -77,7 +77,7 @@
   return windows.sort((a, b) => b.count / b.allowed - a.count / a.allowed)[0];
 }
 
-function toFinding(service: string, { from, count, requests, allowed }: Window): Finding {
+function toViolation(service: string, { from, count, requests, allowed }: Window): Violation {
   const what = `${service}: ${count} extra arrivals for ${requests} requests, allowed ${allowed}`;
   return { at: from, what };
 }
--- a/soak/checks/runsOnce.ts
+++ b/soak/checks/runsAtMostOnce.ts
@@ -1,15 +1,15 @@
 import { CallKind } from "../SoakPlan.ts";
 import type { Check } from "./Check.ts";
 
-const ONCE = new Set([CallKind.Booking, CallKind.KeyedBooking, CallKind.Upload]);
+const NON_REPEATABLE = new Set([CallKind.Booking, CallKind.KeyedBooking, CallKind.Upload]);
 
 /** Work that must not repeat runs at most once for each request, and at most once under a key. */
-export const runsOnce: Check = {
-  promise: "work that must not repeat runs at most once",
+export const runsAtMostOnce: Check = {
+  guarantee: "work that must not repeat runs at most once",
   isTimed: false,
   run: ({ calls, targets }) => {
     const keyOf = new Map(
-      calls.filter((c) => ONCE.has(c.kind)).map((c) => [c.tag, c.resendOf ?? c.tag]),
+      calls.filter((c) => NON_REPEATABLE.has(c.kind)).map((c) => [c.tag, c.resendOf ?? c.tag]),
     );
     const runs = new Map<string, typeof targets>();
     for (const record of targets) {
@@ -21,7 +21,7 @@
     const twice = [...runs].filter(([, list]) => list.length > 1);
     return {
       count: runs.size,
-      findings: twice.map(([key, list]) => ({
+      violations: twice.map(([key, list]) => ({
         at: list.at(-1)?.at ?? 0,
         what: `${key} ran ${list.length} times: ${list.map((r) => `${r.target} as ${r.tag}`).join(", ")}`,
       })),
--- a/soak/checks/stopsCutNothing.ts
+++ b/soak/checks/stopsAbortNothing.ts
@@ -1,28 +1,28 @@
 import type { CallRecord, History, StopRecord } from "../History.ts";
-import type { Check, Finding } from "./Check.ts";
+import type { Check, Violation } from "./Check.ts";
 import { isDisturbed } from "./isDisturbed.ts";
 
 /** A request that was on its way when the process closed its connection was not taken, ms. */
-const ON_ITS_WAY_MS = 200;
+const IN_TRANSIT_MS = 200;
 
 /** A planned stop cuts no request in flight. */
-export const stopsCutNothing: Check = {
-  promise: "a planned stop cuts nothing",
+export const stopsAbortNothing: Check = {
+  guarantee: "a planned stop cuts nothing",
   isTimed: false,
   run: (history) => {
-    const findings = history.stops.flatMap((stop) => cutBy(stop, history));
-    return { count: history.stops.length, findings };
+    const violations = history.stops.flatMap((stop) => abortedBy(stop, history));
+    return { count: history.stops.length, violations };
   },
 };
 
 /** Requests that a sidecar had taken when it was told to stop, or after, and that got no answer. */
-function cutBy(stop: StopRecord, { calls, disturbances }: History): Finding[] {
+function abortedBy(stop: StopRecord, { calls, disturbances }: History): Violation[] {
   const isCut = (c: CallRecord) =>
     c.via === stop.on &&
     c.status === 0 &&
     c.sentAt < stop.endedAt &&
     c.endedAt > stop.at &&
-    (c.hadBegun || c.endedAt - c.sentAt > ON_ITS_WAY_MS) &&
+    (c.hadBegun || c.endedAt - c.sentAt > IN_TRANSIT_MS) &&
     !isDisturbed(disturbances, stop.on, c.sentAt, c.endedAt);
   return calls.filter(isCut).map((c) => ({
     at: c.endedAt,
--- a/soak/checks/stopsEndInTime.ts
+++ b/soak/checks/stopsEndInTime.ts
@@ -1,5 +1,5 @@
 import type { Disturbance, StopRecord } from "../History.ts";
-import type { Check, Finding } from "./Check.ts";
+import type { Check, Violation } from "./Check.ts";
 import { isDisturbed } from "./isDisturbed.ts";
 
 /** A planned stop ends within its grace, ms; the settings of the soak's fleets. */
@@ -10,15 +10,15 @@
 
 /** A planned stop ends in its grace, with exit code 0. */
 export const stopsEndInTime: Check = {
-  promise: "a planned stop ends in time",
+  guarantee: "a planned stop ends in time",
   isTimed: true,
   run: ({ stops, disturbances }) => ({
     count: stops.length,
-    findings: stops.flatMap((stop) => lateEnd(stop, disturbances)),
+    violations: stops.flatMap((stop) => lateViolations(stop, disturbances)),
   }),
 };
 
-function lateEnd(stop: StopRecord, disturbances: readonly Disturbance[]): Finding[] {
+function lateViolations(stop: StopRecord, disturbances: readonly Disturbance[]): Violation[] {
   if (isDisturbed(disturbances, stop.on, stop.at, stop.endedAt)) {
     return [];
   }
--- a/soak/seeded.ts
+++ b/soak/createRng.ts
@@ -1,8 +1,8 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 
-/** Draws of one seeded generator; the same seed gives the same draws. */
-export interface Draws {
+/** Draws of one seeded generator; the same seed gives the same rng. */
+export interface Rng {
   /** A whole number from `from` to `to`, both included. */
   int(from: number, to: number): number;
   /** A number from `from` to `to`, in thousandths of the way. */
@@ -12,7 +12,7 @@
 
 const STEPS = 1000;
 
-export function seeded(seed: number): Draws {
+export function createRng(seed: number): Rng {
   const generator = xoroshiro128plus(seed);
   const int = (from: number, to: number) => uniformInt(generator, from, to);
   return {
--- a/soak/main.ts
+++ b/soak/main.ts
@@ -5,13 +5,13 @@
 import { planSoak } from "./planSoak.ts";
 import { playSoak } from "./playSoak.ts";
 import { plotSoak } from "./plotSoak.ts";
-import { isKept, renderSoak } from "./renderSoak.ts";
+import { allHeld, renderSoak } from "./renderSoak.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
 /** Keeps all that tells of a run in a folder: its plan, report, plot, and, where it failed, logs and histories. */
-async function playAndKeep(plan: SoakPlan, out: string): Promise<boolean> {
+async function playAndSave(plan: SoakPlan, out: string): Promise<boolean> {
   const result = await playSoak(plan);
-  const kept = isKept(result);
+  const kept = allHeld(result);
   const dir = join(out, `seed-${plan.seed}`);
   mkdirSync(dir, { recursive: true });
   writeFileSync(join(dir, "plan.json"), JSON.stringify(plan, undefined, 1));
@@ -56,16 +56,16 @@
         );
     let failed = 0;
     for (const plan of plans) {
-      const kept = await playAndKeep(plan, args.out);
+      const kept = await playAndSave(plan, args.out);
       failed += kept ? 0 : 1;
       if (!kept && args.minimize) {
         const fails = async (smaller: SoakPlan) =>
-          !(await playAndKeep(smaller, join(args.out, "min")));
+          !(await playAndSave(smaller, join(args.out, "min")));
         const smallest = await minimizeSoak(plan, fails);
         process.stdout.write(`smallest schedule that fails:\n${JSON.stringify(smallest.faults)}\n`);
       }
     }
-    process.stdout.write(`${plans.length} played, ${failed} with a promise broken\n`);
+    process.stdout.write(`${plans.length} played, ${failed} with a guarantee broken\n`);
     process.exit(failed === 0 ? 0 : 1);
   },
 });
--- a/soak/minimizeSoak.ts
+++ b/soak/minimizeSoak.ts
@@ -11,7 +11,7 @@
   let faults = plan.faults;
   let pieces = 2;
   while (faults.length > 1) {
-    const smaller = await firstThatFails(plan, without(faults, pieces), fails);
+    const smaller = await firstFailing(plan, withoutEachPiece(faults, pieces), fails);
     if (smaller) {
       faults = smaller;
       pieces = Math.max(2, pieces - 1);
@@ -25,14 +25,14 @@
 }
 
 /** The schedule with each of so many pieces left out. */
-function without(faults: readonly PlannedFault[], pieces: number): PlannedFault[][] {
+function withoutEachPiece(faults: readonly PlannedFault[], pieces: number): PlannedFault[][] {
   const size = Math.ceil(faults.length / pieces);
   return Array.from({ length: pieces }, (_, n) =>
     faults.filter((_fault, i) => Math.floor(i / size) !== n),
   ).filter((rest) => rest.length < faults.length);
 }
 
-async function firstThatFails(
+async function firstFailing(
   plan: SoakPlan,
   candidates: readonly (readonly PlannedFault[])[],
   fails: (plan: SoakPlan) => Promise<boolean>,
--- a/soak/planSoak.ts
+++ b/soak/planSoak.ts
@@ -5,26 +5,26 @@
   type SoakPlan,
   type SoakService,
 } from "./SoakPlan.ts";
-import { seeded, type Draws } from "./seeded.ts";
+import { createRng, type Rng } from "./createRng.ts";
 
 /** The load runs quietly before the first fault and after the last for so long, s. */
 const QUIET_BEFORE_S = 4;
 const QUIET_AFTER_S = 16;
 
 /** Slots in use on average, of all: room for a third of the targets to be out at once, just. */
-const USED_SLOTS = 0.6;
+const MEAN_UTILIZATION = 0.6;
 
 /** A new fault, or series, comes after so long, s. */
-const GAP_S: readonly [number, number] = [0.8, 3];
+const FAULT_GAP_S: readonly [number, number] = [0.8, 3];
 
 /** How long a fault lasts, s: around the time that the product takes to notice one, and far beyond. */
-const LASTS_S: readonly [number, number] = [0.3, 5];
+const FAULT_DURATION_S: readonly [number, number] = [0.3, 5];
 
 /** Faults that come to one VM after the other, a gap between them, s. */
 const SERIES_GAP_S: readonly [number, number] = [0.15, 0.8];
 
 /** Kinds that come to VMs, with what makes some come more often than others. */
-const WEIGHTED: readonly (readonly [kind: FaultKind, weight: number])[] = [
+const KIND_WEIGHTS: readonly (readonly [kind: FaultKind, weight: number])[] = [
   [FaultKind.PlannedStop, 4],
   [FaultKind.StopTwice, 1],
   [FaultKind.Kill, 2],
@@ -38,7 +38,7 @@
   [FaultKind.TargetGray, 4],
   [FaultKind.TargetSheds, 3],
   [FaultKind.TargetSlow, 1],
-  [FaultKind.TargetAnswerLost, 1],
+  [FaultKind.TargetResponseLost, 1],
   [FaultKind.TargetTruncates, 1],
   [FaultKind.TargetSilent, 1],
   [FaultKind.TargetDrains, 1],
@@ -47,17 +47,19 @@
 
 const CONTROL_KINDS = [FaultKind.Kill, FaultKind.Wipe, FaultKind.Freeze, FaultKind.PlannedStop];
 
-const KINDS = WEIGHTED.flatMap(([kind, weight]) => Array.from({ length: weight }, () => kind));
+const VM_FAULT_KINDS = KIND_WEIGHTS.flatMap(([kind, weight]) =>
+  Array.from({ length: weight }, () => kind),
+);
 
 /** One fault in so many comes to a control replica. */
-const CONTROL_EVERY = 8;
+const CONTROL_FAULT_EVERY = 8;
 
 /** Draws the run of `seed`, with about so many processes. */
 export function planSoak(seed: number, seconds: number, processes: number): SoakPlan {
-  const draws = seeded(seed);
-  const controls = draws.pick([3, 3, 5]);
-  const services = planServices(draws, Math.max(6, Math.floor((processes - controls) / 2)));
-  const zones = draws.int(2, 4);
+  const rng = createRng(seed);
+  const controls = rng.pick([3, 3, 5]);
+  const services = planServices(rng, Math.max(6, Math.floor((processes - controls) / 2)));
+  const zones = rng.int(2, 4);
   const vms = services.flatMap((s) => vmNames(s));
   const controlIds = Array.from({ length: controls }, (_, n) => `control-${n + 1}`);
   return {
@@ -66,8 +68,8 @@
     zones,
     controls,
     services,
-    rates: planRates(draws, services),
-    faults: planFaults(draws, seconds, vms, controlIds),
+    rates: planRates(rng, services),
+    faults: planFaults(rng, seconds, vms, controlIds),
   };
 }
 
@@ -76,23 +78,23 @@
   return Array.from({ length: targets }, (_, n) => `${name}-${n}`);
 }
 
-function planServices(draws: Draws, vms: number): SoakService[] {
+function planServices(rng: Rng, vms: number): SoakService[] {
   const perService = Math.floor(vms / 3);
   const names = ["desk", "bookings", "ledger"];
   return names.map((name) => ({
     name,
     targets: perService,
-    slots: draws.int(3, 5),
-    workMs: draws.int(30, 90),
+    slots: rng.int(3, 5),
+    workMs: rng.int(30, 90),
   }));
 }
 
-function planRates(draws: Draws, services: readonly SoakService[]): Record<CallKind, number> {
+function planRates(rng: Rng, services: readonly SoakService[]): Record<CallKind, number> {
   const capacity = (name: string) => {
     const s = services.find((service) => service.name === name);
-    return s ? (USED_SLOTS * s.targets * s.slots * 1000) / s.workMs : 0;
+    return s ? (MEAN_UTILIZATION * s.targets * s.slots * 1000) / s.workMs : 0;
   };
-  const most = draws.between(0.5, 1);
+  const most = rng.between(0.5, 1);
   const bookings = capacity("bookings") * most;
   return {
     // Each check makes a call, and takes its time besides.
@@ -105,24 +107,24 @@
 }
 
 function planFaults(
-  draws: Draws,
+  rng: Rng,
   seconds: number,
   vms: readonly string[],
   controls: readonly string[],
 ): PlannedFault[] {
   const faults: PlannedFault[] = [];
   const end = seconds - QUIET_AFTER_S;
-  for (let atS = QUIET_BEFORE_S; atS < end; atS += draws.between(...GAP_S)) {
-    faults.push(...planOne(draws, atS, vms, controls));
+  for (let atS = QUIET_BEFORE_S; atS < end; atS += rng.between(...FAULT_GAP_S)) {
+    faults.push(...planFaultOrSeries(rng, atS, vms, controls));
   }
-  return withFewDrains(faults)
+  return limitDrains(faults)
     .map((f) => ({ ...f, forS: Math.min(f.forS, Math.max(0, end - f.atS)) }))
     .filter((f) => f.atS < end)
     .sort((a, b) => a.atS - b.atS);
 }
 
 /** A target that leaves stays away: one of each service, so that none is left without. */
-function withFewDrains(faults: readonly PlannedFault[]): PlannedFault[] {
+function limitDrains(faults: readonly PlannedFault[]): PlannedFault[] {
   const drained = new Set<string>();
   return faults.filter(({ kind, on }) => {
     const service = on.split("-")[0] ?? "";
@@ -135,25 +137,25 @@
 }
 
 /** One fault, or a series of one kind that overlaps with itself: a third of the fleet, one VM after the other. */
-function planOne(
-  draws: Draws,
+function planFaultOrSeries(
+  rng: Rng,
   atS: number,
   vms: readonly string[],
   controls: readonly string[],
 ): PlannedFault[] {
-  const forS = draws.between(...LASTS_S);
-  if (draws.int(1, CONTROL_EVERY) === 1) {
-    return [{ kind: draws.pick(CONTROL_KINDS), atS, forS, on: draws.pick(controls) }];
+  const forS = rng.between(...FAULT_DURATION_S);
+  if (rng.int(1, CONTROL_FAULT_EVERY) === 1) {
+    return [{ kind: rng.pick(CONTROL_KINDS), atS, forS, on: rng.pick(controls) }];
   }
-  const kind = draws.pick(KINDS);
+  const kind = rng.pick(VM_FAULT_KINDS);
   if (kind === FaultKind.Config) {
-    const count = draws.int(1, 4);
+    const count = rng.int(1, 4);
     return Array.from({ length: count }, () => ({ kind, atS, forS: 0, on: "" }));
   }
-  const inSeries = draws.int(1, 3) === 1;
-  const count = inSeries ? Math.ceil(vms.length / draws.int(3, 5)) : 1;
-  const first = draws.int(0, vms.length - 1);
-  const gapS = draws.between(...SERIES_GAP_S);
+  const inSeries = rng.int(1, 3) === 1;
+  const count = inSeries ? Math.ceil(vms.length / rng.int(3, 5)) : 1;
+  const first = rng.int(0, vms.length - 1);
+  const gapS = rng.between(...SERIES_GAP_S);
   return Array.from({ length: count }, (_, n) => ({
     kind,
     atS: atS + n * gapS,
--- a/soak/playSoak.ts
+++ b/soak/playSoak.ts
@@ -1,23 +1,23 @@
 import { allChecks } from "./checks/allChecks.ts";
-import type { Check, Checked } from "./checks/Check.ts";
+import type { Check, CheckResult } from "./checks/Check.ts";
 import { FaultPlayer } from "./FaultPlayer.ts";
 import type { History } from "./History.ts";
 import { SoakCallers } from "./SoakCallers.ts";
 import { SOAK_BUDGET, SoakFleet } from "./SoakFleet.ts";
 import { SoakOperator } from "./SoakOperator.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
-import { SoakWatch } from "./SoakWatch.ts";
+import { SoakMonitor } from "./SoakMonitor.ts";
 
 /** What a run came to. */
 export interface SoakResult {
   readonly plan: SoakPlan;
   readonly history: History;
-  readonly checked: readonly (Pick<Check, "promise" | "isTimed"> & Checked)[];
+  readonly results: readonly (Pick<Check, "guarantee" | "isTimed"> & CheckResult)[];
   /** The folder with the processes' logs and what the stand-ins wrote down. */
   readonly dir: string;
 }
 
-/** Plays a plan with real processes, and holds what was seen against every promise. */
+/** Plays a plan with real processes, and holds what was seen against every guarantee. */
 export async function playSoak(plan: SoakPlan): Promise<SoakResult> {
   const fleet = new SoakFleet(plan);
   const stopAll = () => {
@@ -27,13 +27,13 @@
   process.once("SIGINT", stopAll);
   process.once("SIGTERM", stopAll);
   try {
-    const history = await playOn(fleet, plan);
-    const checked = allChecks(SOAK_BUDGET).map(({ promise, isTimed, run }) => ({
-      promise,
+    const history = await recordHistory(fleet, plan);
+    const results = allChecks(SOAK_BUDGET).map(({ guarantee, isTimed, run }) => ({
+      guarantee,
       isTimed,
       ...run(history),
     }));
-    return { plan, history, checked, dir: fleet.dir };
+    return { plan, history, results, dir: fleet.dir };
   } finally {
     process.off("SIGINT", stopAll);
     process.off("SIGTERM", stopAll);
@@ -41,11 +41,11 @@
   }
 }
 
-async function playOn(fleet: SoakFleet, plan: SoakPlan): Promise<History> {
+async function recordHistory(fleet: SoakFleet, plan: SoakPlan): Promise<History> {
   await fleet.start();
   const operator = new SoakOperator(fleet, plan);
-  await fleet.settle(await operator.first());
-  const watch = new SoakWatch(fleet, operator);
+  await fleet.startLoad(await operator.applyFirst());
+  const watch = new SoakMonitor(fleet, operator);
   const callers = new SoakCallers(fleet, plan, (vm) => watch.isReady(vm));
   const faults = new FaultPlayer(fleet, operator);
   watch.start();
@@ -60,11 +60,11 @@
     targets: await fleet.targetRecords(),
     stops: faults.stops,
     configs: operator.records,
-    configLooks: watch.configs,
-    readyLooks: watch.ready,
+    configLooks: watch.configSamples,
+    readyLooks: watch.readinessSamples,
     disturbances: faults.disturbances,
     drains: faults.drains,
-    uses: watch.uses,
+    uses: watch.resourceSamples,
     faultsEndAt,
     endAt: fleet.now,
   };
--- a/soak/renderSoak.ts
+++ b/soak/renderSoak.ts
@@ -1,12 +1,12 @@
 import { CallKind } from "./SoakPlan.ts";
-import type { CallRecord, UseRecord } from "./History.ts";
+import type { CallRecord, ResourceSample } from "./History.ts";
 import type { SoakResult } from "./playSoak.ts";
 
-/** Findings of one promise that are shown, at most. */
-const SHOWN = 5;
+/** Findings of one guarantee that are shown, at most. */
+const MAX_SHOWN = 5;
 
 /** The report of a run: the schedule, what callers got, the promises, and what processes used. */
-export function renderSoak({ plan, history, checked, dir }: SoakResult): string {
+export function renderSoak({ plan, history, results, dir }: SoakResult): string {
   const { seed, seconds, services, controls, zones } = plan;
   const shape = services.map((s) => `${s.targets} ${s.name} of ${s.slots} slots, ${s.workMs} ms`);
   const kinds = countBy(plan.faults, (f) => f.kind);
@@ -14,25 +14,25 @@
     `seed ${seed}, ${seconds} s: ${shape.join("; ")}; ${controls} control replicas, ${zones} zones`,
     `faults: ${[...kinds].map(([kind, n]) => `${n} ${kind}`).join(", ")}`,
     `what callers got:`,
-    ...Object.values(CallKind).map((kind) => `  ${gotOf(history.calls, kind)}`),
+    ...Object.values(CallKind).map((kind) => `  ${summarizeCalls(history.calls, kind)}`),
     `promises:`,
-    ...checked.flatMap(({ promise, count, findings }) => [
-      `  ${findings.length === 0 ? "held  " : "BROKEN"} ${promise} (${count} looks)`,
-      ...findings.slice(0, SHOWN).map((f) => `    ${seconds1(f.at)} s  ${f.what}`),
-      ...(findings.length > SHOWN ? [`    and ${findings.length - SHOWN} more`] : []),
+    ...results.flatMap(({ guarantee, count, violations }) => [
+      `  ${violations.length === 0 ? "held  " : "BROKEN"} ${guarantee} (${count} looks)`,
+      ...violations.slice(0, MAX_SHOWN).map((f) => `    ${toSeconds(f.at)} s  ${f.what}`),
+      ...(violations.length > MAX_SHOWN ? [`    and ${violations.length - MAX_SHOWN} more`] : []),
     ]),
-    `use: ${usesOf(history.uses)}`,
+    `use: ${summarizeResources(history.uses)}`,
     `logs and journals: ${dir}`,
   ];
   return `${lines.join("\n")}\n`;
 }
 
-/** Whether every promise was kept. */
-export function isKept({ checked }: Pick<SoakResult, "checked">): boolean {
-  return checked.every((c) => c.findings.length === 0);
+/** Whether every guarantee was kept. */
+export function allHeld({ results }: Pick<SoakResult, "results">): boolean {
+  return results.every((c) => c.violations.length === 0);
 }
 
-function gotOf(calls: readonly CallRecord[], kind: CallKind): string {
+function summarizeCalls(calls: readonly CallRecord[], kind: CallKind): string {
   const own = calls.filter((c) => c.kind === kind && c.resendOf === undefined);
   const served = own.filter((c) => c.status === 200).length;
   const verdicts = countBy(
@@ -44,8 +44,8 @@
 }
 
 /** Memory and descriptors at their most, and how memory grew from the second quarter of the run to the last. */
-function usesOf(uses: readonly UseRecord[]): string {
-  const most = (pick: (u: UseRecord) => number) => Math.max(0, ...uses.map(pick));
+function summarizeResources(uses: readonly ResourceSample[]): string {
+  const most = (pick: (u: ResourceSample) => number) => Math.max(0, ...uses.map(pick));
   const end = most((u) => u.at);
   const mean = (from: number, to: number) => {
     const part = uses.filter((u) => u.at >= from * end && u.at < to * end);
@@ -63,6 +63,6 @@
   return counts;
 }
 
-function seconds1(ms: number): string {
+function toSeconds(ms: number): string {
   return (ms / 1000).toFixed(1);
 }
--- a/soak/soak.test.ts
+++ b/soak/soak.test.ts
@@ -6,7 +6,7 @@
 import { renderSoak } from "./renderSoak.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** Plans that once broke a promise, as they were drawn, each with its cause. */
+/** Plans that once broke a guarantee, as they were drawn, each with its cause. */
 const REGRESSIONS: readonly { file: string; cause: string }[] = [
   {
     file: "not-run-after-a-run",
@@ -33,9 +33,9 @@
     t.log(renderSoak(result));
     // Promises with a bound in time are held against runs by hand: beside other work a machine may miss one, and
     // the verdict here has to be the same every time.
-    for (const { promise, isTimed, findings } of result.checked) {
+    for (const { guarantee, isTimed, violations } of result.results) {
       if (!isTimed) {
-        t.deepEqual(findings, [], promise);
+        t.deepEqual(violations, [], guarantee);
       }
     }
   });
--- a/soak/soakDocument.ts
+++ b/soak/soakDocument.ts
@@ -5,7 +5,7 @@
 const TIMEOUT_MS = 2500;
 
 /** Prefix of the route that only one version has. */
-export const versionPath = (version: number): string => `/v${version}-ledger/`;
+export const changePath = (version: number): string => `/v${version}-ledger/`;
 
 /** The operators' document of a soak's fleet, as the `version`th of its changes has it. */
 export function soakDocument({ services }: SoakPlan, version: number): string {
@@ -14,13 +14,13 @@
     bookings: [{ kind: "booking", method: "POST", pathPrefix: "/bookings", idempotent: false }],
     ledger: [
       { kind: "lookup", method: "GET", pathPrefix: "/ledger", idempotent: true },
-      { kind: "probe", method: "GET", pathPrefix: versionPath(version), idempotent: true },
+      { kind: "probe", method: "GET", pathPrefix: changePath(version), idempotent: true },
     ],
   } as const;
   const routes = {
     desk: ["/desk"],
     bookings: ["/bookings"],
-    ledger: ["/ledger", versionPath(version)],
+    ledger: ["/ledger", changePath(version)],
   } as const;
   return stringify({
     services: services.map(({ name }) => ({
