--- a/soak/NESTED_CALL_SEPARATOR.ts
+++ b/soak/NESTED_CALL_SEPARATOR.ts
@@ -1,2 +1,2 @@
-/** Stands in the tag of a call between that of the request whose run made it and what tells it from others. */
+/** In the tag of a nested call, separates the tag of the request whose run made the call from the call's own suffix. */
 export const NESTED_CALL_SEPARATOR = "~";
