--- a/soak/SoakPlan.ts
+++ b/soak/SoakPlan.ts
@@ -1,56 +1,56 @@
-/** What callers send. */
+/** Kinds of requests that callers send. */
 export enum CallKind {
-  /** May be repeated; targets of the desk call the ledger in the midst of it. */
+  /** May be repeated; targets of the desk service make a nested call to the ledger service during it. */
   Check = "check",
   /** May be repeated. */
   Lookup = "lookup",
   /** Must not be repeated. */
   Booking = "booking",
-  /** Must not be repeated, whoever sends it again under its key. */
+  /** Must not be repeated, even when it is sent again with the same idempotency key. */
   KeyedBooking = "keyed-booking",
-  /** A booking with a body of some hundred KB. */
+  /** A booking with a body of several hundred KB. */
   Upload = "upload",
 }
 
-/** Faults that come to a process, from outside. */
+/** Faults that are injected into a process from outside, and document changes. */
 export enum FaultKind {
-  /** SIGTERM, and a start once it has ended. */
+  /** SIGTERM, and a restart once the process has exited. */
   PlannedStop = "planned-stop",
-  /** SIGTERM twice and a reload between. */
+  /** SIGTERM twice with a SIGHUP (reload) in between, and a restart. */
   StopTwice = "stop-twice",
-  /** SIGKILL, and a start a moment later. */
+  /** SIGKILL, and a restart after the fault's duration. */
   Kill = "kill",
-  /** The same, with an empty data folder. */
+  /** As `Kill`, but the process restarts with an empty data directory. */
   Wipe = "wipe",
-  /** SIGSTOP, and SIGCONT after a while. */
+  /** SIGSTOP, and SIGCONT after the fault's duration. */
   Freeze = "freeze",
-  /** SIGHUP. */
+  /** SIGHUP: reloads the settings. */
   Reload = "reload",
-  /** What others send to it comes late. */
+  /** Traffic to and from the process is delayed. */
   LinkDelay = "link-delay",
-  /** Its connections are reset, and open again. */
+  /** Connections to the process are reset; new ones can be opened at once. */
   LinkReset = "link-reset",
-  /** Nothing gets through to it, and nothing back. */
+  /** Traffic is dropped in both directions. */
   LinkCut = "link-cut",
-  /** What others send arrives, and nothing comes back. */
+  /** Traffic to the process arrives; traffic from it is dropped. */
   LinkOneWay = "link-one-way",
-  /** Part of the datagrams to it is lost, or comes out of order. */
+  /** Some datagrams to and from the process are lost or reordered. */
   LinkLossy = "link-lossy",
-  /** The target fails most of what it gets, its health endpoint says that all is well. */
+  /** Gray failure: the target fails most requests while its health endpoint reports it as healthy. */
   TargetGray = "target-gray",
-  /** The target refuses half of what it gets, though it has room. */
+  /** The target refuses half of the requests, although it has free slots. */
   TargetSheds = "target-sheds",
-  /** The target takes ten times as long. */
+  /** The target takes ten times as long for each request. */
   TargetSlow = "target-slow",
-  /** The target runs what it gets, and its answer is lost. */
+  /** The target runs requests, and its responses are lost. */
   TargetResponseLost = "target-answer-lost",
-  /** The target breaks its answers off. */
+  /** The target breaks its responses off in the middle of the body. */
   TargetTruncates = "target-truncates",
-  /** The target accepts requests and never answers. */
+  /** The target accepts requests and never responds. */
   TargetSilent = "target-silent",
-  /** The target says that it leaves; it serves on for a while. */
+  /** The target reports that it is draining, and still serves requests for a while. */
   TargetDrains = "target-drains",
-  /** Another document is applied; two at a time where `count` is 2. */
+  /** Operators apply another document; several such faults at the same time apply several at once. */
   Config = "config",
 }
 
@@ -59,9 +59,9 @@
   readonly kind: FaultKind;
   /** Seconds after the start of the load. */
   readonly atS: number;
-  /** How long it lasts, s; 0 for one that is over at once. */
+  /** Duration, s; 0 for an instantaneous fault. */
   readonly forS: number;
-  /** Name of a VM or a control replica; empty where it comes to none. */
+  /** Name of the VM or control replica that it is injected into; empty for a document change. */
   readonly on: string;
 }
 
@@ -73,15 +73,15 @@
   readonly workMs: number;
 }
 
-/** A whole run, told by its seed: the fleet's shape, the load, and the faults with their times. */
+/** A whole soak run, derived from its seed: the fleet's shape, the load, and the schedule of faults. */
 export interface SoakPlan {
   readonly seed: number;
-  /** Length of the load, s; the last part of it is without faults. */
+  /** Duration of the load, s; its last part is free of faults. */
   readonly seconds: number;
   readonly zones: number;
   readonly controls: number;
   readonly services: readonly SoakService[];
-  /** Requests a second, by kind. */
+  /** Requests per second, by kind. */
   readonly rates: Readonly<Record<CallKind, number>>;
   readonly faults: readonly PlannedFault[];
 }
