--- a/soak/planSoak.test.ts
+++ b/soak/planSoak.test.ts
@@ -2,12 +2,12 @@
 import { planSoak, vmNames } from "./planSoak.ts";
 import { FaultKind } from "./SoakPlan.ts";
 
-test("plan: a seed tells the whole run, another seed another", (t) => {
+test("plan: the same seed gives the same plan, another seed a different one", (t) => {
   t.deepEqual(planSoak(7, 60, 30), planSoak(7, 60, 30));
   t.notDeepEqual(planSoak(7, 60, 30), planSoak(8, 60, 30));
 });
 
-test("plan: faults come to what is there, in the time between the quiet ones", (t) => {
+test("plan: faults name existing processes and leave the start and end of the load free of faults", (t) => {
   for (let seed = 1; seed <= 50; seed++) {
     const { faults, services, controls, seconds } = planSoak(seed, 60, 40);
     const names = [
@@ -21,7 +21,7 @@
   }
 });
 
-test("plan: fifty seeds bring every kind of fault", (t) => {
+test("plan: fifty seeds cover every kind of fault", (t) => {
   const seen = new Set<string>();
   for (let seed = 1; seed <= 50; seed++) {
     planSoak(seed, 60, 30).faults.forEach((f) => seen.add(f.kind));
--- a/soak/planSoak.ts
+++ b/soak/planSoak.ts
@@ -7,23 +7,23 @@
 } from "./SoakPlan.ts";
 import { createRng, type Rng } from "./createRng.ts";
 
-/** The load runs quietly before the first fault and after the last for so long, s. */
+/** Durations of load without faults before the first fault and after the last, s. */
 const QUIET_BEFORE_S = 4;
 const QUIET_AFTER_S = 16;
 
-/** Slots in use on average, of all: room for a third of the targets to be out at once, just. */
+/** Mean share of all slots in use: just low enough for a third of the targets to be out at once. */
 const MEAN_UTILIZATION = 0.6;
 
-/** A new fault, or series, comes after so long, s. */
+/** Range of the interval between the starts of successive faults or series, s. */
 const FAULT_GAP_S: readonly [number, number] = [0.8, 3];
 
-/** How long a fault lasts, s: around the time that the product takes to notice one, and far beyond. */
+/** Range of a fault's duration, s: from about the time that the product takes to detect one to far beyond it. */
 const FAULT_DURATION_S: readonly [number, number] = [0.3, 5];
 
-/** Faults that come to one VM after the other, a gap between them, s. */
+/** Range of the interval between the faults of a series, which hits one VM after the other, s. */
 const SERIES_GAP_S: readonly [number, number] = [0.15, 0.8];
 
-/** Kinds that come to VMs, with what makes some come more often than others. */
+/** Kinds of faults that are not injected into control replicas, with their relative frequencies. */
 const KIND_WEIGHTS: readonly (readonly [kind: FaultKind, weight: number])[] = [
   [FaultKind.PlannedStop, 4],
   [FaultKind.StopTwice, 1],
@@ -51,10 +51,15 @@
   Array.from({ length: weight }, () => kind),
 );
 
-/** One fault in so many comes to a control replica. */
+/** On average, one fault in this many is injected into a control replica. */
 const CONTROL_FAULT_EVERY = 8;
 
-/** Draws the run of `seed`, with about so many processes. */
+/**
+ * Plans the soak run of `seed`.
+ *
+ * @param seconds duration of the load, s
+ * @param processes approximate number of processes in the fleet
+ */
 export function planSoak(seed: number, seconds: number, processes: number): SoakPlan {
   const rng = createRng(seed);
   const controls = rng.pick([3, 3, 5]);
@@ -73,7 +78,7 @@
   };
 }
 
-/** Names of a service's VMs. */
+/** Returns the names of a service's VMs. */
 export function vmNames({ name, targets }: SoakService): string[] {
   return Array.from({ length: targets }, (_, n) => `${name}-${n}`);
 }
@@ -94,12 +99,12 @@
     const s = services.find((service) => service.name === name);
     return s ? (MEAN_UTILIZATION * s.targets * s.slots * 1000) / s.workMs : 0;
   };
-  const most = rng.between(0.5, 1);
-  const bookings = capacity("bookings") * most;
+  const loadFactor = rng.between(0.5, 1);
+  const bookings = capacity("bookings") * loadFactor;
   return {
-    // Each check makes a call, and takes its time besides.
-    [CallKind.Check]: 0.5 * capacity("desk") * most,
-    [CallKind.Lookup]: 0.4 * capacity("ledger") * most,
+    // A check holds its slot during its nested call as well as during its own work.
+    [CallKind.Check]: 0.5 * capacity("desk") * loadFactor,
+    [CallKind.Lookup]: 0.4 * capacity("ledger") * loadFactor,
     [CallKind.Booking]: 0.75 * bookings,
     [CallKind.KeyedBooking]: 0.15 * bookings,
     [CallKind.Upload]: 0.05 * bookings,
@@ -123,20 +128,23 @@
     .sort((a, b) => a.atS - b.atS);
 }
 
-/** A target that leaves stays away: one of each service, so that none is left without. */
+/** Keeps one drain for each service: a drained target does not return, and no service may run out of targets. */
 function limitDrains(faults: readonly PlannedFault[]): PlannedFault[] {
   const drained = new Set<string>();
   return faults.filter(({ kind, on }) => {
     const service = on.split("-")[0] ?? "";
-    const isMore = kind === FaultKind.TargetDrains && drained.has(service);
+    const isFurtherDrain = kind === FaultKind.TargetDrains && drained.has(service);
     if (kind === FaultKind.TargetDrains) {
       drained.add(service);
     }
-    return !isMore;
+    return !isFurtherDrain;
   });
 }
 
-/** One fault, or a series of one kind that overlaps with itself: a third of the fleet, one VM after the other. */
+/**
+ * Draws one fault, a group of document changes, or a series of overlapping faults of one kind that hit a fifth to a
+ * third of the VMs, one after the other.
+ */
 function planFaultOrSeries(
   rng: Rng,
   atS: number,
