--- a/soak/History.ts
+++ b/soak/History.ts
@@ -1,41 +1,41 @@
 import type { CallKind } from "./SoakPlan.ts";
 
-/** A caller's request and what came back, as its caller saw it. Times are ms after the start of the load. */
+/** A caller's request and its response, as the caller observed them. Times are ms after the start of the load. */
 export interface CallRecord {
-  /** Names the request; sent as a header, which targets echo in the body. */
+  /** Identifies the request; sent as a header, which targets echo in the response body. */
   readonly tag: string;
   readonly kind: CallKind;
-  /** The service that it is for. */
+  /** The service that the request is for. */
   readonly service: string;
-  /** The VM whose sidecar took it. */
+  /** The VM to whose sidecar it was sent. */
   readonly via: string;
-  /** It was sent again under the key of this request, which came first. */
+  /** Tag of the first request with the same idempotency key; undefined unless this one is a resend. */
   readonly resendOf: string | undefined;
   readonly sentAt: number;
   readonly endedAt: number;
-  /** 0 where the connection ended without a whole answer. */
+  /** HTTP status; 0 where the connection ended without a complete response. */
   readonly status: number;
-  /** The product's word on whether it ran; empty where there is none. */
+  /** The `x-burdockpass-verdict` header, which states whether it ran; empty if absent, "left" if the caller timed out. */
   readonly verdict: string;
-  /** The tag in the body; undefined where the body tells none. */
+  /** The tag in the response body; undefined where there is none. */
   readonly bodyTag: string | undefined;
-  /** The body was as long as was asked for, and well formed. */
+  /** The response body was well formed and had the requested length. */
   readonly isWhole: boolean;
-  /** Bytes of an answer had arrived when the connection ended. */
+  /** The response had begun to arrive when the connection ended. */
   readonly hadBegun: boolean;
 }
 
-/** What a target did with a request, as it wrote down itself. */
+/** An entry of a target's journal: what the target did with a request. */
 export interface TargetRecord {
   readonly at: number;
   readonly target: string;
   readonly service: string;
   readonly tag: string;
-  /** It arrived; it was run to its effect; it was refused, unrun. */
+  /** The request arrived, its run took effect, or it was refused without a run. */
   readonly event: "arrived" | "ran" | "shed";
 }
 
-/** A time that a VM's process was told to stop, until it had ended. */
+/** A planned stop of a process, from its first SIGTERM until its exit. */
 export interface StopRecord {
   readonly on: string;
   readonly at: number;
@@ -43,30 +43,30 @@
   readonly code: number | null;
 }
 
-/** A change of the operators', and what they were told of it. */
+/** An operators' change of the document, and the outcome that was reported to them. */
 export interface ConfigRecord {
-  /** Names the route that only this change's document has. */
+  /** Number of the change, which names the route that only its document has. */
   readonly change: number;
   readonly sentAt: number;
   readonly outcome: "accepted" | "refused" | "unknown";
-  /** The version that it became; 0 where it was not accepted, as far as is known. */
+  /** The document version that it became; 0 unless it is known to be accepted. */
   readonly version: number;
-  /** When it was accepted; Infinity for never, as far as is known. */
+  /** When the acceptance was reported; Infinity unless it is known to be accepted. */
   readonly acceptedAt: number;
 }
 
-/** What a look at the route that only one version has showed, through one sidecar. */
+/** Whether the route that only one document version has existed at one sidecar. */
 export interface ConfigSample {
   readonly at: number;
   readonly via: string;
-  /** Names one life of the process. */
+  /** Incarnation of the process, from 1. */
   readonly life: number;
-  /** The accepted version whose route was asked for. */
+  /** The accepted document version whose route was requested. */
   readonly version: number;
   readonly isThere: boolean;
 }
 
-/** A time in which something from outside held a process, its links or its target. */
+/** A period in which a fault affected a process, its links or its target. */
 export interface Disturbance {
   readonly on: string;
   readonly kind: string;
@@ -74,7 +74,7 @@
   readonly until: number;
 }
 
-/** Whether a sidecar said that it is ready, and whether a new connection to it was answered. */
+/** Whether a sidecar reported itself as ready, and whether it responded on a new connection. */
 export interface ReadinessSample {
   readonly at: number;
   readonly via: string;
@@ -82,7 +82,7 @@
   readonly isAnswered: boolean;
 }
 
-/** What a process used at a moment. */
+/** Resource use of a process at one time. */
 export interface ResourceSample {
   readonly at: number;
   readonly name: string;
@@ -91,7 +91,7 @@
   readonly descriptors: number;
 }
 
-/** All that was seen of a run, from outside. */
+/** Everything that was observed of a soak run, from outside the processes. */
 export interface History {
   readonly calls: readonly CallRecord[];
   readonly targets: readonly TargetRecord[];
@@ -102,7 +102,8 @@
   readonly disturbances: readonly Disturbance[];
   readonly drains: readonly { readonly target: string; readonly at: number }[];
   readonly uses: readonly ResourceSample[];
-  /** End of the last fault, and of the load, ms. */
+  /** End of the last fault, ms. */
   readonly faultsEndAt: number;
+  /** End of the load, ms. */
   readonly endAt: number;
 }
