--- a/soak/FaultPlayer.ts
+++ b/soak/FaultPlayer.ts
@@ -5,10 +5,13 @@
 import type { SoakOperator } from "./SoakOperator.ts";
 import { FaultKind, type PlannedFault, type SoakPlan } from "./SoakPlan.ts";
 
-/** Pause between the signals of a stop that comes twice, ms. */
+/** Interval between the signals of a repeated stop, ms. */
 const SIGNAL_GAP_MS = 300;
 
-/** What a fault leaves behind counts as a disturbance for so long, ms: connections that were lost are found and opened again. */
+/**
+ * A disturbance lasts this much longer than its fault, ms: the fleet needs the time to detect lost connections and to
+ * open new ones.
+ */
 const RECOVERY_MS = 1000;
 
 const TARGET_MODES: Readonly<Partial<Record<FaultKind, FaultMode>>> = {
@@ -29,14 +32,14 @@
 
 const sleep = (ms: number) => new Promise<void>((resolve) => setTimeout(resolve, ms));
 
-/** Plays a schedule of faults on a fleet, from outside, and writes down what was done to whom and when. */
+/** Injects a schedule of faults into a fleet, from outside, and records which process was affected and when. */
 export class FaultPlayer {
   readonly #fleet: SoakFleet;
   readonly #operator: SoakOperator;
   readonly stops: StopRecord[] = [];
   readonly disturbances: Disturbance[] = [];
   readonly drains: { target: string; at: number }[] = [];
-  /** Processes that are being stopped or started: a fault that comes to one of them meanwhile is played on it as it is. */
+  /** By process: its latest stop or restart. Other faults that hit it meanwhile are injected without waiting. */
   readonly #restarts = new Map<string, Promise<void>>();
 
   constructor(fleet: SoakFleet, operator: SoakOperator) {
@@ -44,7 +47,10 @@
     this.#operator = operator;
   }
 
-  /** Plays all faults at their times; resolves once the last one is over and every process is up again. */
+  /**
+   * Injects all faults at their times; resolves once the last one is over, every process runs again, and every document
+   * change has its outcome.
+   */
   async play({ faults }: SoakPlan): Promise<void> {
     await Promise.all(
       faults.map(async (fault) => {
@@ -101,12 +107,12 @@
     }
   }
 
-  /** Has one thing at a time done to a process that ends and starts again by it. */
-  async #runExclusive(on: string, act: () => Promise<void>): Promise<void> {
-    const before = this.#restarts.get(on);
-    const turn = (before ?? Promise.resolve()).then(act);
-    this.#restarts.set(on, turn);
-    await turn;
+  /** Runs the actions that end and restart a process one at a time. */
+  async #runExclusive(on: string, action: () => Promise<void>): Promise<void> {
+    const previous = this.#restarts.get(on);
+    const next = (previous ?? Promise.resolve()).then(action);
+    this.#restarts.set(on, next);
+    await next;
   }
 
   async #faultTarget(on: string, kind: string, mode: FaultMode, forS: number): Promise<void> {
@@ -127,7 +133,7 @@
     links.forEach((link) => {
       link.mode = LinkMode.Open;
       if (mode === LinkMode.Cut || mode === LinkMode.OneWay) {
-        // What was held up is lost: its connections are of no use any more.
+        // Bytes that were dropped leave a gap in the streams, so the connections are unusable.
         link.reset();
       }
     });
@@ -144,9 +150,9 @@
 
   async #kill(on: string, kind: FaultKind, forS: number): Promise<void> {
     const end = this.#beginDisturbance(on, kind);
-    const ended = this.#fleet.waitForExit(on);
+    const exited = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGKILL");
-    await ended;
+    await exited;
     await sleep(forS * 1000);
     await this.#fleet.restart(on, kind === FaultKind.Wipe);
     end();
@@ -154,7 +160,7 @@
 
   async #stop(on: string, kind: FaultKind): Promise<void> {
     const at = this.#fleet.now;
-    const ended = this.#fleet.waitForExit(on);
+    const exited = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGTERM");
     if (kind === FaultKind.StopTwice) {
       for (const signal of ["SIGHUP", "SIGTERM"] as const) {
@@ -162,20 +168,20 @@
         this.#fleet.signal(on, signal);
       }
     }
-    const code = await ended;
+    const code = await exited;
     this.stops.push({ on, at, endedAt: this.#fleet.now, code });
     const end = this.#beginDisturbance(on, "down");
     await this.#fleet.restart(on, false);
     end();
   }
 
-  /** Notes a disturbance from now on; returns what ends it. */
+  /** Records a disturbance that starts now; returns the function that ends it. */
   #beginDisturbance(on: string, kind: string): () => void {
     const from = this.#fleet.now;
-    const open = { on, kind, from, until: Infinity };
-    this.disturbances.push(open);
+    const disturbance = { on, kind, from, until: Infinity };
+    this.disturbances.push(disturbance);
     return () => {
-      open.until = this.#fleet.now + RECOVERY_MS;
+      disturbance.until = this.#fleet.now + RECOVERY_MS;
     };
   }
 
