--- a/soak/LinkProxy.ts
+++ b/soak/LinkProxy.ts
@@ -1,44 +1,46 @@
-import { createSocket, type RemoteInfo, type Socket as Datagrams } from "node:dgram";
+import { createSocket, type RemoteInfo, type Socket as UdpSocket } from "node:dgram";
 import { connect, createServer, type Server, type Socket } from "node:net";
 import type { Rng } from "./createRng.ts";
 
-/** How a link behaves. */
+/** How a link treats traffic. */
 export enum LinkMode {
+  /** Everything passes. */
   Open = "open",
-  /** Everything towards the process comes late. */
+  /** Everything is delayed, in both directions. */
   Delay = "delay",
-  /** Nothing passes, either way; connections stay open. */
+  /** Nothing passes in either direction; connections stay open. */
   Cut = "cut",
-  /** What is sent arrives, and nothing comes back. */
+  /** Traffic to the process passes; traffic from it is dropped. */
   OneWay = "one-way",
-  /** A third of the datagrams is lost, and a third comes late. */
+  /** A third of the datagrams is lost, and a third is delayed. TCP passes. */
   Lossy = "lossy",
 }
 
+/** Delay of everything that passes a delayed link, ms. */
 const DELAY_MS = 120;
 
-/** Of three datagrams on a lossy link one is lost, and one comes so late, ms. */
+/** Delay of a third of the datagrams on a lossy link, ms. */
 const LOSSY_DELAY_MS = 40;
 
 const LOOPBACK = "127.0.0.1";
 
 /**
- * A proxy on loopback in front of one address of a process, for TCP and datagrams: what others send there goes
- * through it, and it can hold up, lose, or cut off what passes.
+ * A loopback proxy for TCP and UDP in front of one address of a process. Other processes send to the proxy, which can
+ * delay, drop or reset what passes.
  */
 export class LinkProxy {
   readonly #processPort: number;
   readonly #rng: Rng;
   readonly #server: Server;
-  readonly #udpSocket: Datagrams;
-  /** By the address of whoever sends datagrams: the socket that speaks for it. */
-  readonly #relays = new Map<string, Datagrams>();
+  readonly #udpSocket: UdpSocket;
+  /** By a datagram sender's address: the socket that relays its datagrams to the process, and the replies back. */
+  readonly #relays = new Map<string, UdpSocket>();
   readonly #sockets = new Set<Socket>();
   mode = LinkMode.Open;
 
-  /** @param to the port that the process listens at */
-  constructor(to: number, rng: Rng) {
-    this.#processPort = to;
+  /** @param processPort the port that the process listens on */
+  constructor(processPort: number, rng: Rng) {
+    this.#processPort = processPort;
     this.#rng = rng;
     this.#server = createServer((socket) => {
       this.#connect(socket);
@@ -56,7 +58,7 @@
     });
   }
 
-  /** Resets every connection through it. */
+  /** Resets every TCP connection through the proxy. */
   reset(): void {
     for (const socket of this.#sockets) {
       socket.resetAndDestroy();
@@ -70,19 +72,19 @@
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  #connect(outer: Socket): void {
-    const inner = connect(this.#processPort, LOOPBACK);
-    this.#forward(outer, inner, "in");
-    this.#forward(inner, outer, "out");
+  #connect(client: Socket): void {
+    const upstream = connect(this.#processPort, LOOPBACK);
+    this.#forward(client, upstream, "in");
+    this.#forward(upstream, client, "out");
   }
 
-  #forward(from: Socket, to: Socket, way: "in" | "out"): void {
+  #forward(from: Socket, to: Socket, direction: "in" | "out"): void {
     this.#sockets.add(from);
     from.on("data", (chunk) => {
-      this.#deliver(way, () => to.write(chunk));
+      this.#deliver(direction, () => to.write(chunk));
     });
     from.on("end", () => {
-      this.#deliver(way, () => to.end());
+      this.#deliver(direction, () => to.end());
     });
     from.on("error", () => undefined);
     from.on("close", (hadError) => {
@@ -95,53 +97,54 @@
     });
   }
 
-  /** Lets something pass now, late, or never. */
-  #deliver(way: "in" | "out", act: () => void): void {
+  /** Runs `action`, which passes data on, at once, after a delay, or never, as the mode says. */
+  #deliver(direction: "in" | "out", action: () => void): void {
     switch (this.mode) {
       case LinkMode.Cut:
         return;
       case LinkMode.OneWay:
-        if (way === "in") {
-          act();
+        if (direction === "in") {
+          action();
         }
         return;
       case LinkMode.Delay:
-        setTimeout(act, DELAY_MS);
+        setTimeout(action, DELAY_MS);
         return;
       case LinkMode.Open:
       case LinkMode.Lossy:
-        act();
+        action();
     }
   }
 
   #onDatagram(message: Buffer, from: RemoteInfo): void {
     const key = `${from.address}:${from.port}`;
-    let speaker = this.#relays.get(key);
-    if (!speaker) {
-      speaker = createSocket("udp4", (reply) => {
+    let relay = this.#relays.get(key);
+    if (!relay) {
+      relay = createSocket("udp4", (reply) => {
         this.#deliverDatagram("out", () => {
           this.#udpSocket.send(reply, from.port, from.address);
         });
       });
-      speaker.on("error", () => undefined);
-      this.#relays.set(key, speaker);
+      relay.on("error", () => undefined);
+      this.#relays.set(key, relay);
     }
-    const { send } = { send: speaker.send.bind(speaker) };
+    const { send } = { send: relay.send.bind(relay) };
     this.#deliverDatagram("in", () => {
       send(message, this.#processPort, LOOPBACK);
     });
   }
 
-  #deliverDatagram(way: "in" | "out", act: () => void): void {
+  /** As `#deliver`, for one datagram: a lossy link drops and delays at random. */
+  #deliverDatagram(direction: "in" | "out", action: () => void): void {
     if (this.mode !== LinkMode.Lossy) {
-      this.#deliver(way, act);
+      this.#deliver(direction, action);
       return;
     }
-    const fate = this.#rng.int(1, 3);
-    if (fate === 2) {
-      setTimeout(act, LOSSY_DELAY_MS);
-    } else if (fate === 3) {
-      act();
+    const outcome = this.#rng.int(1, 3);
+    if (outcome === 2) {
+      setTimeout(action, LOSSY_DELAY_MS);
+    } else if (outcome === 3) {
+      action();
     }
   }
 }
