--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -4,20 +4,21 @@
 import type { SoakFleet } from "./SoakFleet.ts";
 import { CallKind, type SoakPlan } from "./SoakPlan.ts";
 
-/** Bodies of answers that are asked for, bytes: most are small, some go out in many pieces. */
+/** Lengths of requested response bodies, bytes: most are small, some are sent in many chunks. */
 const RESPONSE_BYTES = [0, 0, 200, 20_000, 200_000];
 
 /** Body of an upload, bytes. */
 const UPLOAD_BYTES = 300_000;
 
-/** A caller gives up after this long, ms: past the route's timeout and a little. */
+/** Time after which a caller gives up, ms: longer than the route's timeout. */
 const GIVE_UP_MS = 4000;
 
-/** A keyed booking without a clear outcome is sent again after this long, ms, and so many times. */
+/** Delay after which a keyed booking without a final outcome is sent again, ms. */
 const RESEND_DELAY_MS = 400;
+/** Largest number of resends of one keyed booking. */
 const MAX_RESENDS = 3;
 
-/** Requests in a row that a caller sends without waiting, now and then. */
+/** Requests that a caller occasionally sends in succession without waiting for responses. */
 const PIPELINE_LENGTH = 3;
 
 const SERVICE_OF: Readonly<Record<CallKind, string>> = {
@@ -28,24 +29,26 @@
   [CallKind.Upload]: "bookings",
 };
 
-/** What one exchange came to. */
+/** The outcome of one exchange, as the caller observed it. */
 type CallOutcome = Pick<CallRecord, "status" | "verdict" | "bodyTag" | "isWhole" | "hadBegun">;
 
-/** What a caller sends. */
+/** A request that a caller is to send. */
 interface CallSpec {
   readonly tag: string;
   readonly kind: CallKind;
+  /** Requested length of the response body's filler. */
   readonly bytes: number;
+  /** Idempotency key. */
   readonly key: string | undefined;
 }
 
-/** The users: they send requests at the plan's rates, through sidecars that are ready, and write down what they get. */
+/** Simulates callers: sends requests at the plan's rates through sidecars that are ready, and records the outcomes. */
 export class SoakCallers {
   readonly #fleet: SoakFleet;
   readonly #plan: SoakPlan;
   readonly #isReady: (vm: string) => boolean;
   readonly #rng: Rng;
-  /** Connections are kept for as long as the process at the other end is there. */
+  /** Keeps connections open for as long as the process at the other end runs. */
   readonly #agent = new Agent({ keepAlive: true, maxFreeSockets: 64 });
   readonly #pending = new Set<Promise<void>>();
   readonly #timers = new Set<NodeJS.Timeout>();
@@ -59,7 +62,7 @@
     this.#rng = createRng(plan.seed + 2);
   }
 
-  /** Sends until the plan's time is over; resolves once all have their answers. */
+  /** Sends requests for the plan's duration; resolves once every request has its outcome. */
   async run(): Promise<void> {
     for (const kind of Object.values(CallKind)) {
       this.#sendNext(kind);
@@ -72,6 +75,7 @@
     this.#agent.destroy();
   }
 
+  /** Schedules the next request of `kind`, after an exponentially distributed interval. */
   #sendNext(kind: CallKind): void {
     const rate = this.#plan.rates[kind];
     const waitMs = (-Math.log(1 - this.#rng.between(0, 0.999)) * 1000) / Math.max(0.01, rate);
@@ -91,6 +95,7 @@
     void done.finally(() => this.#pending.delete(done));
   }
 
+  /** VMs whose sidecars are ready; all VMs where none is. */
   #readyVms(): readonly string[] {
     const ready = this.#fleet.vms.filter(this.#isReady);
     return ready.length > 0 ? ready : this.#fleet.vms;
@@ -102,36 +107,38 @@
     return { tag, kind, bytes: this.#rng.pick(RESPONSE_BYTES), key };
   }
 
-  /** Several lookups on one connection, without waiting for answers. */
+  /** Sends several lookups on one connection in direct succession. */
   async #callPipelined(via: string): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    const wanted = Array.from({ length: PIPELINE_LENGTH }, () => this.#nextCall(CallKind.Lookup));
-    await Promise.all(wanted.map((want) => this.#exchange(via, want, agent, undefined)));
+    const specs = Array.from({ length: PIPELINE_LENGTH }, () => this.#nextCall(CallKind.Lookup));
+    await Promise.all(specs.map((spec) => this.#exchange(via, spec, agent, undefined)));
     agent.destroy();
   }
 
-  async #call(via: string, want: CallSpec): Promise<void> {
-    let last = await this.#exchange(via, want, this.#agent, undefined);
-    for (let n = 1; want.key !== undefined && n <= MAX_RESENDS && !isFinal(last); n++) {
+  /** Sends a request, and resends it under its idempotency key, if it has one, until the outcome is final. */
+  async #call(via: string, spec: CallSpec): Promise<void> {
+    let last = await this.#exchange(via, spec, this.#agent, undefined);
+    for (let n = 1; spec.key !== undefined && n <= MAX_RESENDS && !isFinal(last); n++) {
       await new Promise((resolve) => setTimeout(resolve, RESEND_DELAY_MS));
-      const again = { ...want, tag: `${want.tag}.${n}` };
-      last = await this.#exchange(this.#rng.pick(this.#readyVms()), again, this.#agent, want.tag);
+      const resend = { ...spec, tag: `${spec.tag}.${n}` };
+      last = await this.#exchange(this.#rng.pick(this.#readyVms()), resend, this.#agent, spec.tag);
     }
   }
 
+  /** Sends one request and records its outcome. */
   async #exchange(
     via: string,
-    want: CallSpec,
+    spec: CallSpec,
     agent: Agent,
     resendOf: string | undefined,
   ): Promise<CallOutcome> {
     const sentAt = this.#fleet.now;
-    const seen = await this.#request(this.#fleet.callerPort(via), want, agent);
-    const { tag, kind } = want;
+    const outcome = await this.#request(this.#fleet.callerPort(via), spec, agent);
+    const { tag, kind } = spec;
     const service = SERVICE_OF[kind];
     const endedAt = this.#fleet.now;
-    this.records.push({ tag, kind, service, via, resendOf, sentAt, endedAt, ...seen });
-    return seen;
+    this.records.push({ tag, kind, service, via, resendOf, sentAt, endedAt, ...outcome });
+    return outcome;
   }
 
   #request(port: number, { tag, kind, bytes, key }: CallSpec, agent: Agent): Promise<CallOutcome> {
@@ -149,28 +156,28 @@
       headers,
     };
     return new Promise((resolve) => {
-      let isOver = false;
+      let isSettled = false;
       let hadBegun = false;
-      const end = (seen: CallOutcome) => {
-        if (!isOver) {
-          isOver = true;
+      const settle = (outcome: CallOutcome) => {
+        if (!isSettled) {
+          isSettled = true;
           clearTimeout(timer);
-          resolve(seen);
+          resolve(outcome);
         }
       };
-      const nothing = () => {
-        end({ ...NO_RESPONSE, hadBegun });
+      const onFailure = () => {
+        settle({ ...NO_RESPONSE, hadBegun });
       };
       const req = request(options, (res) => {
         hadBegun = true;
-        readOutcome(res, bytes).then(end, nothing);
+        readOutcome(res, bytes).then(settle, onFailure);
       });
       const timer = setTimeout(() => {
-        // Left by its caller: neither cut nor answered.
-        end({ ...NO_RESPONSE, verdict: "left", hadBegun });
+        // The caller gave up: the request counts neither as aborted nor as answered.
+        settle({ ...NO_RESPONSE, verdict: "left", hadBegun });
         req.destroy();
       }, GIVE_UP_MS);
-      req.on("error", nothing);
+      req.on("error", onFailure);
       req.end(kind === CallKind.Upload ? Buffer.alloc(UPLOAD_BYTES, "u") : undefined);
     });
   }
@@ -184,7 +191,7 @@
   hadBegun: false,
 };
 
-/** Reads an answer to its end; rejects when it breaks off. */
+/** Reads a response to its end; rejects if the connection ends before that. */
 async function readOutcome(res: IncomingMessage, bytes: number): Promise<CallOutcome> {
   const chunks: Buffer[] = [];
   for await (const chunk of res as AsyncIterable<Buffer>) {
@@ -204,7 +211,7 @@
   }
 }
 
-/** Nothing is to be learned by sending it again. */
+/** Whether a resend could not give a clearer outcome. */
 function isFinal({ status, verdict }: CallOutcome): boolean {
   return status === 200 || (verdict === "may-have-run" && status !== 0);
 }
