--- a/soak/SoakFleet.ts
+++ b/soak/SoakFleet.ts
@@ -12,25 +12,29 @@
 import { createRng, type Rng } from "./createRng.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** The fleet's retry budget: a short window, so that a run holds many. */
+/** The fleet's retry budget. Its window is short, so that a soak run covers many windows. */
 export const SOAK_BUDGET: FleetRetryBudget = { ratio: 0.2, windowMs: 5000, slack: 20 };
 
-/** Callers are sent elsewhere once two looks, half a second apart, have missed. */
+/**
+ * Time for which a stopping sidecar still accepts connections, ms: callers are sent elsewhere after two failed readiness
+ * probes, half a second apart.
+ */
 const CALLERS_DRAIN_MS = 1300;
 
-/** Share of the desk's runs that call the ledger. */
+/** Share of the desk service's runs that make a nested call to the ledger service. */
 const NESTED_CALL_SHARE = "0.7";
 
-/** Long enough for a clean end after the longest run. */
+/** Wait before the links are closed, ms: long enough for the processes to exit cleanly after the longest run. */
 const EXIT_WAIT_MS = 500;
 
-/** The processes of a run, and what can be done to them from outside. */
+/** The processes of a soak run, with the operations that control and observe them from outside. */
 export class SoakFleet {
   readonly #plan: SoakPlan;
   readonly #rng: Rng;
   readonly #fleet: LocalFleet;
+  /** By process: the proxies in front of its peer address and its hop address. */
   readonly #links = new Map<string, LinkProxy[]>();
-  /** Lives of each process so far. */
+  /** By process: its current incarnation; 1 until its first restart. */
   readonly #incarnations = new Map<string, number>();
   #startedAt = 0;
 
@@ -62,11 +66,12 @@
     return this.#fleet.controlAddresses;
   }
 
-  /** Ms since the load began. */
+  /** Time since the start of the load, ms. */
   get now(): number {
     return Date.now() - this.#startedAt;
   }
 
+  /** Starts all processes. */
   async start(): Promise<void> {
     const { services, zones } = this.#plan;
     const targets = services.flatMap((service) =>
@@ -81,7 +86,7 @@
     await this.#fleet.start(targets);
   }
 
-  /** Waits until every sidecar knows every target; the load begins now. */
+  /** Waits until every sidecar has the document version and knows every target; the load's clock starts then. */
   async startLoad(version: number): Promise<void> {
     await this.#fleet.waitForVersion(version);
     await this.#fleet.waitForTargets(this.vms.length);
@@ -96,6 +101,7 @@
     return this.#fleet.sidecars.get(vm)?.ports.admin ?? 0;
   }
 
+  /** Incarnation of the VM's sidecar, from 1. */
   incarnation(vm: string): number {
     return this.#incarnations.get(vm) ?? 1;
   }
@@ -108,13 +114,13 @@
     this.#process(name)?.kill(signal);
   }
 
-  /** Whether the process has not ended. */
+  /** Whether the process has not exited. A frozen process counts as running. */
   isRunning(name: string): boolean {
     const proc = this.#process(name);
     return proc?.exitCode === null && proc.signalCode === null;
   }
 
-  /** Resolves with the exit code once the process has ended. */
+  /** Resolves with the exit code once the process has exited; null if a signal ended it. */
   async waitForExit(name: string): Promise<number | null> {
     const proc = this.#process(name);
     if (!proc || !this.isRunning(name)) {
@@ -123,7 +129,11 @@
     return new Promise((resolve) => proc.once("exit", resolve));
   }
 
-  /** Starts a process again, as it was set up. */
+  /**
+   * Starts a process again with its original settings.
+   *
+   * @param isWiped whether its data directory is deleted first
+   */
   async restart(name: string, isWiped: boolean): Promise<void> {
     if (isWiped) {
       rmSync(join(this.dir, this.isControl(name) ? name : `sidecar-${name}`), {
@@ -141,17 +151,17 @@
     return this.#fleet.controls.has(name);
   }
 
-  /** Has a stand-in misbehave, or not any more. */
+  /** Sets the fault mode of a stand-in target; its health endpoint reports it as healthy meanwhile. */
   async setFault(vm: string, mode: FaultMode): Promise<void> {
     await this.#postToStandIn(vm, "fault", { mode, lies: true });
   }
 
-  /** Has a stand-in say that it leaves. */
+  /** Makes a stand-in target report that it is draining. */
   async drain(vm: string): Promise<void> {
     await this.#postToStandIn(vm, "drain", {});
   }
 
-  /** What the stand-ins wrote down. */
+  /** Reads the journals of all stand-in targets. */
   async targetRecords(): Promise<TargetRecord[]> {
     const records: TargetRecord[] = [];
     const files = readdirSync(this.dir).filter((f) => f.endsWith(".journal"));
@@ -164,7 +174,7 @@
     return records;
   }
 
-  /** What each process of the product uses now. */
+  /** Samples the resource use of each running sidecar and control replica. */
   sampleResources(): ResourceSample[] {
     const names = [...this.vms, ...this.#fleet.controls.keys()];
     return names.flatMap((name) => {
@@ -179,11 +189,12 @@
         const descriptors = readdirSync(`${proc}/fd`).length;
         return [{ at: this.now, name, life: this.incarnation(name), rssMb, descriptors }];
       } catch {
-        return []; // It has ended in between.
+        return []; // It has exited in the meantime.
       }
     });
   }
 
+  /** Stops all processes, frozen ones too, and closes the links. */
   async stop(): Promise<void> {
     for (const name of [...this.vms, ...this.#fleet.controls.keys()]) {
       this.signal(name, "SIGCONT");
@@ -193,6 +204,7 @@
     await Promise.all([...this.#links.values()].flat().map((link) => link.close()));
   }
 
+  /** Opens proxies in front of a process's addresses; resolves with the proxies' addresses, which are advertised instead. */
   async #openLinks(id: string, { peer, hop }: SidecarAddresses): Promise<SidecarAddresses> {
     const open = async (address: string) => {
       const link = new LinkProxy(Number(address.split(":").at(-1)), this.#rng);
