--- a/soak/SoakOperator.ts
+++ b/soak/SoakOperator.ts
@@ -5,11 +5,12 @@
 import type { SoakFleet } from "./SoakFleet.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** The operators: they apply one document after the other, at times several at once. */
+/** Simulates operators: applies one document after the other, sometimes several concurrently. */
 export class SoakOperator {
   readonly #fleet: SoakFleet;
   readonly #plan: SoakPlan;
   readonly #pending = new Set<Promise<void>>();
+  /** By number of the change. */
   readonly #records = new Map<number, ConfigRecord>();
   #changes = 0;
 
@@ -22,14 +23,14 @@
     return [...this.#records.values()];
   }
 
-  /** Changes that were accepted, the newest version first. */
+  /** Accepted changes, the newest version first. */
   get accepted(): readonly ConfigRecord[] {
     return this.records
       .filter((r) => r.outcome === "accepted")
       .sort((a, b) => b.version - a.version);
   }
 
-  /** Applies the first document; resolves with the version that it became. */
+  /** Applies the first document; resolves with its document version. */
   async applyFirst(): Promise<number> {
     await this.#apply();
     const [accepted] = this.accepted;
@@ -39,27 +40,28 @@
     return accepted.version;
   }
 
-  /** Sends a further change, beside those that are under way. */
+  /** Starts to apply a further change without waiting for the pending ones. */
   applyNext(): void {
     const done = this.#apply();
     this.#pending.add(done);
     void done.finally(() => this.#pending.delete(done));
   }
 
+  /** Resolves once no change is pending. */
   async waitForPending(): Promise<void> {
     await Promise.all(this.#pending);
   }
 
   async #apply(): Promise<void> {
     const change = ++this.#changes;
-    const sent: ConfigRecord = {
+    const unresolved: ConfigRecord = {
       change,
       sentAt: this.#fleet.now,
       outcome: "unknown",
       version: 0,
       acceptedAt: Infinity,
     };
-    this.#records.set(change, sent);
+    this.#records.set(change, unresolved);
     const text = soakDocument(this.#plan, change);
     try {
       const { controlAddresses } = this.#fleet;
@@ -68,11 +70,11 @@
       this.#records.set(
         change,
         reply.outcome === "accepted"
-          ? { ...sent, outcome: "accepted", version, acceptedAt: this.#fleet.now }
-          : { ...sent, outcome: "refused" },
+          ? { ...unresolved, outcome: "accepted", version, acceptedAt: this.#fleet.now }
+          : { ...unresolved, outcome: "refused" },
       );
     } catch {
-      // No replica gave a clear answer: it may or may not be in force.
+      // No replica reported a definite outcome: the change may or may not be in force.
     }
   }
 }
