--- a/soak/SoakMonitor.ts
+++ b/soak/SoakMonitor.ts
@@ -3,17 +3,22 @@
 import type { SoakOperator } from "./SoakOperator.ts";
 import { changePath } from "./soakDocument.ts";
 
-/** How often each process is looked at, ms; callers are sent elsewhere after two misses. */
+/** Interval between probes of one sidecar, ms. */
 const PROBE_INTERVAL_MS = 500;
+
+/** Failed readiness probes in a row after which callers are sent elsewhere. */
 const MAX_MISSES = 2;
 
-/** How long a look may take, ms. */
+/** Timeout of one probe's request, ms. */
 const PROBE_TIMEOUT_MS = 1000;
 
-/** How often what processes use is read, ms. */
+/** Interval between samples of the processes' resource use, ms. */
 const RESOURCE_INTERVAL_MS = 2000;
 
-/** What a load balancer and the operators' own checks see: who is ready, who answers, and which document is in force. */
+/**
+ * Observes the fleet as a load balancer and the operators' own checks do: which sidecars are ready, which respond, and
+ * which document version is in force.
+ */
 export class SoakMonitor {
   readonly #fleet: SoakFleet;
   readonly #operator: SoakOperator;
@@ -28,7 +33,7 @@
     this.#operator = operator;
   }
 
-  /** Callers may be sent to the sidecar beside `vm`. */
+  /** Whether callers may be sent to the sidecar on `vm`. */
   isReady(vm: string): boolean {
     return (this.#misses.get(vm) ?? 0) < MAX_MISSES;
   }
@@ -49,34 +54,42 @@
     });
   }
 
-  #every(ms: number, act: () => Promise<void>): void {
-    this.#timers.push(setInterval(() => void act(), ms));
+  #every(ms: number, action: () => Promise<void>): void {
+    this.#timers.push(setInterval(() => void action(), ms));
   }
 
+  /** Samples whether a sidecar is ready and responds, and which of the two newest documents it has in force. */
   async #probe(vm: string): Promise<void> {
     const at = this.#fleet.now;
     const isReady = (await getStatus(this.#fleet.adminPort(vm), "/ready")) === 200;
     this.#misses.set(vm, isReady ? 0 : (this.#misses.get(vm) ?? 0) + 1);
-    const life = this.#fleet.incarnation(vm);
-    // The one before the newest too: whoever has had the newest must not have that one any more.
-    const looks = this.#operator.accepted.slice(0, 2).map(async ({ change, version }) => {
-      const askedAt = this.#fleet.now;
+    const incarnation = this.#fleet.incarnation(vm);
+    // The version before the newest is probed too: a process that has had the newest must not go back to it.
+    const probes = this.#operator.accepted.slice(0, 2).map(async ({ change, version }) => {
+      const sentAt = this.#fleet.now;
       const status = await getStatus(
         this.#fleet.callerPort(vm),
         `${changePath(change)}look?bytes=0`,
       );
-      const isSame = life === this.#fleet.incarnation(vm);
+      // A restart in between would attribute the response to the wrong incarnation.
+      const isSame = incarnation === this.#fleet.incarnation(vm);
       if (status !== undefined && status !== 503 && isSame) {
-        this.configSamples.push({ at: askedAt, via: vm, life, version, isThere: status !== 404 });
+        this.configSamples.push({
+          at: sentAt,
+          via: vm,
+          life: incarnation,
+          version,
+          isThere: status !== 404,
+        });
       }
       return status !== undefined;
     });
-    const answered = await Promise.all(looks);
+    const answered = await Promise.all(probes);
     this.readinessSamples.push({ at, via: vm, isReady, isAnswered: answered.some((a) => a) });
   }
 }
 
-/** Status of an answer over a connection of its own; undefined for none. */
+/** Returns the status of a response over a new connection; undefined if there is no response. */
 async function getStatus(port: number, path: string): Promise<number | undefined> {
   try {
     const res = await fetch(`http://127.0.0.1:${port}${path}`, {
