--- a/soak/main.ts
+++ b/soak/main.ts
@@ -8,40 +8,56 @@
 import { allHeld, renderSoak } from "./renderSoak.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** Keeps all that tells of a run in a folder: its plan, report, plot, and, where it failed, logs and histories. */
+/**
+ * Plays a plan and writes the results to a directory: the plan, a report and a plot, and, if a guarantee was violated,
+ * the history and the logs. Resolves with whether every guarantee held.
+ */
 async function playAndSave(plan: SoakPlan, out: string): Promise<boolean> {
   const result = await playSoak(plan);
-  const kept = allHeld(result);
+  const passed = allHeld(result);
   const dir = join(out, `seed-${plan.seed}`);
   mkdirSync(dir, { recursive: true });
   writeFileSync(join(dir, "plan.json"), JSON.stringify(plan, undefined, 1));
   writeFileSync(join(dir, "report.txt"), renderSoak(result));
   writeFileSync(join(dir, "served.svg"), plotSoak(result));
-  if (!kept) {
+  if (!passed) {
     writeFileSync(join(dir, "history.json"), JSON.stringify(result.history));
     cpSync(result.dir, join(dir, "logs"), { recursive: true });
   }
   process.stdout.write(renderSoak(result));
-  process.stdout.write(`again: npm run soak -- --plan ${join(dir, "plan.json")}\n\n`);
-  return kept;
+  process.stdout.write(`to repeat: npm run soak -- --plan ${join(dir, "plan.json")}\n\n`);
+  return passed;
 }
 
 const main = defineCommand({
   meta: {
     name: "soak",
-    description: "Plays random faults on a fleet of real processes, and checks the promises.",
+    description:
+      "Injects random faults into a fleet of real processes and checks the product's guarantees.",
   },
   args: {
     seed: { type: "string", default: "1", description: "The first seed" },
-    seeds: { type: "string", default: "1", description: "How many seeds, one after the other" },
-    minutes: { type: "string", default: "1", description: "Length of each run" },
-    processes: { type: "string", default: "30", description: "Processes in each run, about" },
-    plan: { type: "string", description: "A plan.json to play again, in place of seeds" },
-    minimize: { type: "boolean", default: false, description: "Drop faults while it still fails" },
+    seeds: { type: "string", default: "1", description: "Number of successive seeds to play" },
+    minutes: {
+      type: "string",
+      default: "1",
+      description: "Duration of the load of each run, in minutes",
+    },
+    processes: {
+      type: "string",
+      default: "30",
+      description: "Approximate number of processes in each run",
+    },
+    plan: { type: "string", description: "A plan.json to play instead of seeds" },
+    minimize: {
+      type: "boolean",
+      default: false,
+      description: "Drop faults from a failing plan while it still fails",
+    },
     out: {
       type: "string",
       default: "/tmp/burdockpass-soak",
-      description: "Where reports are kept",
+      description: "Directory for the reports",
     },
   },
   async run({ args }) {
@@ -56,16 +72,16 @@
         );
     let failed = 0;
     for (const plan of plans) {
-      const kept = await playAndSave(plan, args.out);
-      failed += kept ? 0 : 1;
-      if (!kept && args.minimize) {
+      const passed = await playAndSave(plan, args.out);
+      failed += passed ? 0 : 1;
+      if (!passed && args.minimize) {
         const fails = async (smaller: SoakPlan) =>
           !(await playAndSave(smaller, join(args.out, "min")));
         const smallest = await minimizeSoak(plan, fails);
-        process.stdout.write(`smallest schedule that fails:\n${JSON.stringify(smallest.faults)}\n`);
+        process.stdout.write(`smallest failing schedule:\n${JSON.stringify(smallest.faults)}\n`);
       }
     }
-    process.stdout.write(`${plans.length} played, ${failed} with a guarantee broken\n`);
+    process.stdout.write(`${plans.length} played, ${failed} with a violated guarantee\n`);
     process.exit(failed === 0 ? 0 : 1);
   },
 });
