--- a/soak/minimizeSoak.ts
+++ b/soak/minimizeSoak.ts
@@ -1,8 +1,8 @@
 import type { PlannedFault, SoakPlan } from "./SoakPlan.ts";
 
 /**
- * Drops faults from a plan for as long as `fails` says that what is left still fails: halves first, then single
- * ones (delta debugging; Zeller and Hildebrandt, 2002).
+ * Reduces a failing plan's faults for as long as `fails` reports that the reduced plan still fails: drops halves first,
+ * then smaller pieces down to single faults (delta debugging; Zeller and Hildebrandt, 2002).
  */
 export async function minimizeSoak(
   plan: SoakPlan,
@@ -24,7 +24,7 @@
   return { ...plan, faults };
 }
 
-/** The schedule with each of so many pieces left out. */
+/** Splits the faults into `pieces`, and returns for each piece the schedule without it. */
 function withoutEachPiece(faults: readonly PlannedFault[], pieces: number): PlannedFault[][] {
   const size = Math.ceil(faults.length / pieces);
   return Array.from({ length: pieces }, (_, n) =>
@@ -32,6 +32,7 @@
   ).filter((rest) => rest.length < faults.length);
 }
 
+/** Returns the first of the schedules with which the plan fails; undefined if none does. */
 async function firstFailing(
   plan: SoakPlan,
   candidates: readonly (readonly PlannedFault[])[],
