--- a/soak/playSoak.ts
+++ b/soak/playSoak.ts
@@ -8,20 +8,20 @@
 import type { SoakPlan } from "./SoakPlan.ts";
 import { SoakMonitor } from "./SoakMonitor.ts";
 
-/** What a run came to. */
+/** Result of a soak run. */
 export interface SoakResult {
   readonly plan: SoakPlan;
   readonly history: History;
   readonly results: readonly (Pick<Check, "guarantee" | "isTimed"> & CheckResult)[];
-  /** The folder with the processes' logs and what the stand-ins wrote down. */
+  /** The directory with the processes' logs and the stand-in targets' journals. */
   readonly dir: string;
 }
 
-/** Plays a plan with real processes, and holds what was seen against every guarantee. */
+/** Plays a plan with real processes, and checks the recorded history for violations of every guarantee. */
 export async function playSoak(plan: SoakPlan): Promise<SoakResult> {
   const fleet = new SoakFleet(plan);
   const stopAll = () => {
-    // Interrupted: the processes end with this one, and no others.
+    // On an interrupt, stops the fleet's own processes and no others.
     void fleet.stop().finally(() => process.exit(130));
   };
   process.once("SIGINT", stopAll);
@@ -41,30 +41,31 @@
   }
 }
 
+/** Starts the fleet, plays the load and the faults, and returns the history. */
 async function recordHistory(fleet: SoakFleet, plan: SoakPlan): Promise<History> {
   await fleet.start();
   const operator = new SoakOperator(fleet, plan);
   await fleet.startLoad(await operator.applyFirst());
-  const watch = new SoakMonitor(fleet, operator);
-  const callers = new SoakCallers(fleet, plan, (vm) => watch.isReady(vm));
-  const faults = new FaultPlayer(fleet, operator);
-  watch.start();
+  const monitor = new SoakMonitor(fleet, operator);
+  const callers = new SoakCallers(fleet, plan, (vm) => monitor.isReady(vm));
+  const faultPlayer = new FaultPlayer(fleet, operator);
+  monitor.start();
   let faultsEndAt = 0;
-  const played = faults.play(plan).then(() => {
+  const played = faultPlayer.play(plan).then(() => {
     faultsEndAt = fleet.now;
   });
   await Promise.all([callers.run(), played]);
-  watch.stop();
+  monitor.stop();
   return {
     calls: callers.records,
     targets: await fleet.targetRecords(),
-    stops: faults.stops,
+    stops: faultPlayer.stops,
     configs: operator.records,
-    configLooks: watch.configSamples,
-    readyLooks: watch.readinessSamples,
-    disturbances: faults.disturbances,
-    drains: faults.drains,
-    uses: watch.resourceSamples,
+    configLooks: monitor.configSamples,
+    readyLooks: monitor.readinessSamples,
+    disturbances: faultPlayer.disturbances,
+    drains: faultPlayer.drains,
+    uses: monitor.resourceSamples,
     faultsEndAt,
     endAt: fleet.now,
   };
