--- a/soak/plotSoak.ts
+++ b/soak/plotSoak.ts
@@ -6,10 +6,10 @@
 const SIZE = { width: 960, height: 360 };
 const MARGIN = { top: 20, right: 170, bottom: 50, left: 50 };
 
-/** Colours that are told apart by most people (Okabe and Ito, 2008). */
+/** A palette that people with colour vision deficiencies can distinguish (Okabe and Ito, 2008). */
 const COLOURS = ["#E69F00", "#56B4E9", "#009E73", "#D55E00", "#CC79A7"];
 
-/** Share served of each kind of request, by the second in which it was sent, with the faults below, as an SVG document. */
+/** Plots, as an SVG document, the served share of each kind of request by the second of sending, with the faults below. */
 export function plotSoak({ plan, history }: SoakResult): string {
   const x = scaleLinear([0, plan.seconds], [MARGIN.left, SIZE.width - MARGIN.right]);
   const y = scaleLinear([0, 1], [SIZE.height - MARGIN.bottom, MARGIN.top]);
@@ -43,6 +43,6 @@
   return `<svg xmlns="http://www.w3.org/2000/svg" viewBox="0 0 ${SIZE.width} ${SIZE.height}" font-family="sans-serif" font-size="12">\n${body}\n</svg>\n`;
 }
 
-function text(x: number, y: number, words: string, colour = "black"): string {
-  return `<text x="${x}" y="${y}" fill="${colour}">${words}</text>`;
+function text(x: number, y: number, content: string, colour = "black"): string {
+  return `<text x="${x}" y="${y}" fill="${colour}">${content}</text>`;
 }
