--- a/soak/soak.test.ts
+++ b/soak/soak.test.ts
@@ -6,11 +6,11 @@
 import { renderSoak } from "./renderSoak.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** Plans that once broke a guarantee, as they were drawn, each with its cause. */
+/** Plans that once violated a guarantee, as they were generated, each with the fault of the product that it exposed. */
 const REGRESSIONS: readonly { file: string; cause: string }[] = [
   {
     file: "not-run-after-a-run",
-    cause: "a lookup that one target had failed, and the next refused, was called not run",
+    cause: "a lookup that failed at one target and was refused by the next is reported as not run",
   },
 ];
 
@@ -31,8 +31,8 @@
     t.timeout(240_000);
     const result = await playSoak(plan());
     t.log(renderSoak(result));
-    // Promises with a bound in time are held against runs by hand: beside other work a machine may miss one, and
-    // the verdict here has to be the same every time.
+    // Guarantees with a time bound are checked only in runs by hand: a machine with other work may miss the bound, and
+    // this test has to give the same verdict every time.
     for (const { guarantee, isTimed, violations } of result.results) {
       if (!isTimed) {
         t.deepEqual(violations, [], guarantee);
