--- a/soak/soakDocument.ts
+++ b/soak/soakDocument.ts
@@ -1,26 +1,26 @@
 import { stringify } from "yaml";
 import type { SoakPlan } from "./SoakPlan.ts";
 
-/** Longest that a caller is kept waiting, ms. */
+/** The routes' timeout for a request, ms. */
 const TIMEOUT_MS = 2500;
 
-/** Prefix of the route that only one version has. */
-export const changePath = (version: number): string => `/v${version}-ledger/`;
+/** Path prefix of the route that only the document of change number `change` has. */
+export const changePath = (change: number): string => `/v${change}-ledger/`;
 
-/** The operators' document of a soak's fleet, as the `version`th of its changes has it. */
-export function soakDocument({ services }: SoakPlan, version: number): string {
+/** The document that change number `change` applies to a soak run's fleet. */
+export function soakDocument({ services }: SoakPlan, change: number): string {
   const kinds = {
     desk: [{ kind: "check", method: "GET", pathPrefix: "/desk", idempotent: true }],
     bookings: [{ kind: "booking", method: "POST", pathPrefix: "/bookings", idempotent: false }],
     ledger: [
       { kind: "lookup", method: "GET", pathPrefix: "/ledger", idempotent: true },
-      { kind: "probe", method: "GET", pathPrefix: changePath(version), idempotent: true },
+      { kind: "probe", method: "GET", pathPrefix: changePath(change), idempotent: true },
     ],
   } as const;
   const routes = {
     desk: ["/desk"],
     bookings: ["/bookings"],
-    ledger: ["/ledger", changePath(version)],
+    ledger: ["/ledger", changePath(change)],
   } as const;
   return stringify({
     services: services.map(({ name }) => ({
