--- a/soak/checks/Check.ts
+++ b/soak/checks/Check.ts
@@ -1,23 +1,24 @@
 import type { History } from "../History.ts";
 
-/** A guarantee that was broken. */
+/** One violation of a guarantee. */
 export interface Violation {
   /** When, ms after the start of the load. */
   readonly at: number;
+  /** Description of the violation, as the report shows it. */
   readonly what: string;
 }
 
-/** What holding a history against a guarantee came to. */
+/** Result of checking a history for violations of one guarantee. */
 export interface CheckResult {
-  /** How often the guarantee was put to the test. */
+  /** Number of observations that were checked. */
   readonly count: number;
   readonly violations: readonly Violation[];
 }
 
-/** A guarantee of the product, and how a history is held against it. */
+/** A guarantee of the product, and the function that checks a history for violations of it. */
 export interface Check {
   readonly guarantee: string;
-  /** It has a bound in time, which a machine with more work than cores may miss without a fault of the product. */
+  /** The guarantee has a time bound, which an overloaded machine may miss although the product has no fault. */
   readonly isTimed: boolean;
   readonly run: (history: History) => CheckResult;
 }
--- a/soak/checks/allChecks.ts
+++ b/soak/checks/allChecks.ts
@@ -12,7 +12,7 @@
 import { stopsAbortNothing } from "./stopsAbortNothing.ts";
 import { stopsEndInTime } from "./stopsEndInTime.ts";
 
-/** Every guarantee that a run is held against. */
+/** Returns the checks of all guarantees; `budget` is the retry budget of the soak run's fleet. */
 export const allChecks = (budget: FleetRetryBudget): readonly Check[] => [
   responsesMatchRequests,
   notRunNeverRan,
