--- a/soak/checks/isDisturbed.ts
+++ b/soak/checks/isDisturbed.ts
@@ -1,6 +1,9 @@
 import type { Disturbance } from "../History.ts";
 
-/** Something unplanned held the process, or its link or target, at that time. */
+/**
+ * Whether a disturbance of the process, its links or its target overlaps the period, ms. A planned stop is a disturbance
+ * only from the exit of the process until its restart.
+ */
 export function isDisturbed(
   disturbances: readonly Disturbance[],
   on: string,
