--- a/soak/checks/retryBudget.ts
+++ b/soak/checks/retryBudget.ts
@@ -2,20 +2,22 @@
 import { NESTED_CALL_SEPARATOR } from "../NESTED_CALL_SEPARATOR.ts";
 import type { CallRecord, TargetRecord } from "../History.ts";
 
-/** What the fleet may send beside callers' own requests; the settings of the soak's fleets. */
+/** The retry budget that the soak run's fleet is configured with. */
 export interface FleetRetryBudget {
+  /** Extra arrivals allowed for each request of a caller. */
   readonly ratio: number;
   readonly windowMs: number;
+  /** Extra arrivals allowed in each window besides those. */
   readonly slack: number;
 }
 
 /**
- * Extra arrivals at a service stay within the retry budget in every window, over the whole fleet, restarts
- * included. Calls made by a run that repeats another are extra too.
+ * Checks that extra arrivals at a service stay within the retry budget in every window, over the whole fleet and across
+ * restarts. Nested calls made by a repeated run are extra too.
  */
 export function retryBudget(budget: FleetRetryBudget): Check {
   return {
-    guarantee: "repeats stay within the retry budget",
+    guarantee: "retries stay within the retry budget",
     isTimed: false,
     run: ({ calls, targets }) => {
       const services = [...new Set(targets.map((t) => t.service))];
@@ -30,6 +32,7 @@
   };
 }
 
+/** Extra arrivals in one window, and the number that its requests allow. */
 interface Window {
   readonly from: number;
   readonly count: number;
@@ -37,26 +40,27 @@
   readonly allowed: number;
 }
 
-/** When extras arrived, by service. */
+/** Times of extra arrivals, by service. */
 function extraArrivals(targets: readonly TargetRecord[]): Map<string, number[]> {
-  // Looks at the document in force have no tag: each is a request of its own.
+  // Probes for the document in force have no tag and are never repeats.
   const arrivals = targets
     .filter((t) => t.event === "arrived" && t.tag !== "")
     .sort((a, b) => a.at - b.at);
   const seen = new Map<string, number>();
   const extras = new Map<string, number[]>();
   for (const { tag, at, service } of arrivals) {
-    const before = seen.get(tag) ?? 0;
-    seen.set(tag, before + 1);
+    const earlier = seen.get(tag) ?? 0;
+    seen.set(tag, earlier + 1);
     const [parent = ""] = tag.split(NESTED_CALL_SEPARATOR);
-    const isOfRepeat = tag !== parent && (seen.get(parent) ?? 0) > 1;
-    if (before > 0 || isOfRepeat) {
+    const isCallOfRepeat = tag !== parent && (seen.get(parent) ?? 0) > 1;
+    if (earlier > 0 || isCallOfRepeat) {
       extras.set(service, [...(extras.get(service) ?? []), at]);
     }
   }
   return extras;
 }
 
+/** The window with the most extra arrivals in proportion to the number allowed; undefined without extra arrivals. */
 function worstWindow(
   extras: readonly number[],
   requests: readonly CallRecord["sentAt"][],
@@ -65,7 +69,8 @@
   const within = (list: readonly number[], from: number) =>
     list.filter((at) => from <= at && at < from + windowMs).length;
   const windows = extras.map((from) => {
-    // Requests of the window before count where there were more: extras may lag behind them.
+    // Extra arrivals may lag behind their requests, so the window that starts half or a whole window earlier counts
+    // instead if it had more requests.
     const counted = Math.max(
       within(requests, from),
       within(requests, from - windowMs / 2),
