--- a/soak/checks/recoversAfterFaults.ts
+++ b/soak/checks/recoversAfterFaults.ts
@@ -1,12 +1,12 @@
 import type { Check } from "./Check.ts";
 
-/** After the last fault the fleet has so long to find back, ms: the soak's own bound, two thirds of the users'. */
+/** Time that the fleet has to recover after the last fault, ms: the soak's own bound, two thirds of the users' bound. */
 const RECOVERY_MS = 8000;
 
-/** Share of callers' requests that are served from then on, of a load that the fleet has room for. */
+/** Minimum share of callers' requests that are served from then on; the load is within the fleet's capacity. */
 const SERVED_SHARE = 0.9;
 
-/** After the last fault, requests are served again. */
+/** Checks that requests are served again after the last fault. */
 export const recoversAfterFaults: Check = {
   guarantee: "after the last fault nine in ten are served within 8 s",
   isTimed: true,
