--- a/soak/checks/runsAtMostOnce.ts
+++ b/soak/checks/runsAtMostOnce.ts
@@ -1,11 +1,12 @@
 import { CallKind } from "../SoakPlan.ts";
 import type { Check } from "./Check.ts";
 
+/** Kinds of requests that must not be repeated. */
 const NON_REPEATABLE = new Set([CallKind.Booking, CallKind.KeyedBooking, CallKind.Upload]);
 
-/** Work that must not repeat runs at most once for each request, and at most once under a key. */
+/** Checks that a request that must not be repeated runs at most once, and at most once for each idempotency key. */
 export const runsAtMostOnce: Check = {
-  guarantee: "work that must not repeat runs at most once",
+  guarantee: "requests that must not be repeated run at most once",
   isTimed: false,
   run: ({ calls, targets }) => {
     const keyOf = new Map(
@@ -18,10 +19,10 @@
         runs.set(key, [...(runs.get(key) ?? []), record]);
       }
     }
-    const twice = [...runs].filter(([, list]) => list.length > 1);
+    const repeated = [...runs].filter(([, list]) => list.length > 1);
     return {
       count: runs.size,
-      violations: twice.map(([key, list]) => ({
+      violations: repeated.map(([key, list]) => ({
         at: list.at(-1)?.at ?? 0,
         what: `${key} ran ${list.length} times: ${list.map((r) => `${r.target} as ${r.tag}`).join(", ")}`,
       })),
