--- a/soak/History.ts
+++ b/soak/History.ts
@@ -63,6 +63,7 @@
   readonly life: number;
   /** The accepted document version whose route was requested. */
   readonly version: number;
+  /** Whether the route existed. */
   readonly isThere: boolean;
 }
 
