--- a/soak/LinkProxy.ts
+++ b/soak/LinkProxy.ts
@@ -97,7 +97,7 @@
     });
   }
 
-  /** Runs `action`, which passes data on, at once, after a delay, or never, as the mode says. */
+  /** Runs `action`, which passes data on, at once, after a delay, or never, depending on the mode. */
   #deliver(direction: "in" | "out", action: () => void): void {
     switch (this.mode) {
       case LinkMode.Cut:
