--- a/soak/checks/checks.test.ts
+++ b/soak/checks/checks.test.ts
@@ -99,7 +99,7 @@
     ],
   },
   {
-    guarantee: /reported as "not run"/,
+    guarantee: /verdict "not-run"/,
     satisfying: {
       calls: [
         call({ status: 503, verdict: "not-run" }),
--- a/soak/checks/notRunNeverRan.ts
+++ b/soak/checks/notRunNeverRan.ts
@@ -2,12 +2,12 @@
 
 /** Checks that a request with the verdict "not-run" did not run, and does not run later. */
 export const notRunNeverRan: Check = {
-  guarantee: 'a request reported as "not run" never runs',
+  guarantee: 'a request with the verdict "not-run" never runs',
   isTimed: false,
   run: ({ calls, targets }) => {
     const ran = new Set(targets.filter((t) => t.event === "ran").map((t) => t.tag));
     const refused = calls.filter((c) => c.verdict === "not-run");
-    // The verdict of a refused resend says nothing about the first request.
+    // The verdict of a refused resend does not apply to the first request.
     const wrong = refused.filter((c) => ran.has(c.tag));
     return {
       count: refused.length,
