--- a/soak/checks/retryBudget.ts
+++ b/soak/checks/retryBudget.ts
@@ -6,8 +6,9 @@
 export interface FleetRetryBudget {
   /** Extra arrivals allowed for each request of a caller. */
   readonly ratio: number;
+  /** Length of the window, ms. */
   readonly windowMs: number;
-  /** Extra arrivals allowed in each window besides those. */
+  /** Extra arrivals allowed in each window in addition, whatever the number of requests. */
   readonly slack: number;
 }
 
@@ -17,7 +18,7 @@
  */
 export function retryBudget(budget: FleetRetryBudget): Check {
   return {
-    guarantee: "retries stay within the retry budget",
+    guarantee: "extra arrivals at targets stay within the retry budget",
     isTimed: false,
     run: ({ calls, targets }) => {
       const services = [...new Set(targets.map((t) => t.service))];
@@ -46,13 +47,13 @@
   const arrivals = targets
     .filter((t) => t.event === "arrived" && t.tag !== "")
     .sort((a, b) => a.at - b.at);
-  const seen = new Map<string, number>();
+  const counts = new Map<string, number>();
   const extras = new Map<string, number[]>();
   for (const { tag, at, service } of arrivals) {
-    const earlier = seen.get(tag) ?? 0;
-    seen.set(tag, earlier + 1);
+    const earlier = counts.get(tag) ?? 0;
+    counts.set(tag, earlier + 1);
     const [parent = ""] = tag.split(NESTED_CALL_SEPARATOR);
-    const isCallOfRepeat = tag !== parent && (seen.get(parent) ?? 0) > 1;
+    const isCallOfRepeat = tag !== parent && (counts.get(parent) ?? 0) > 1;
     if (earlier > 0 || isCallOfRepeat) {
       extras.set(service, [...(extras.get(service) ?? []), at]);
     }
