--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -18,8 +18,8 @@
 /** Largest number of resends of one keyed booking. */
 const MAX_RESENDS = 3;
 
-/** Requests that a caller occasionally sends in succession without waiting for responses. */
-const PIPELINE_LENGTH = 3;
+/** Lookups that a caller occasionally issues at once for one connection. */
+const BURST_LENGTH = 3;
 
 const SERVICE_OF: Readonly<Record<CallKind, string>> = {
   [CallKind.Check]: "desk",
@@ -89,8 +89,8 @@
 
   #send(kind: CallKind): void {
     const via = this.#rng.pick(this.#readyVms());
-    const isPipelined = kind === CallKind.Lookup && this.#rng.int(1, 12) === 1;
-    const done = isPipelined ? this.#callPipelined(via) : this.#call(via, this.#nextCall(kind));
+    const isBurst = kind === CallKind.Lookup && this.#rng.int(1, 12) === 1;
+    const done = isBurst ? this.#callOnOneConnection(via) : this.#call(via, this.#nextCall(kind));
     this.#pending.add(done);
     void done.finally(() => this.#pending.delete(done));
   }
@@ -107,10 +107,10 @@
     return { tag, kind, bytes: this.#rng.pick(RESPONSE_BYTES), key };
   }
 
-  /** Sends several lookups on one connection in direct succession. */
-  async #callPipelined(via: string): Promise<void> {
+  /** Issues several lookups at once for one connection; the agent sends each after the response to the previous one. */
+  async #callOnOneConnection(via: string): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    const specs = Array.from({ length: PIPELINE_LENGTH }, () => this.#nextCall(CallKind.Lookup));
+    const specs = Array.from({ length: BURST_LENGTH }, () => this.#nextCall(CallKind.Lookup));
     await Promise.all(specs.map((spec) => this.#exchange(via, spec, agent, undefined)));
     agent.destroy();
   }
