--- a/soak/FaultPlayer.ts
+++ b/soak/FaultPlayer.ts
@@ -5,17 +5,20 @@
 import type { SoakOperator } from "./SoakOperator.ts";
 import { FaultKind, type PlannedFault, type SoakPlan } from "./SoakPlan.ts";
 
-/** Pause between the signals of a stop that comes twice, ms. */
+/** Interval between the signals of a repeated stop, ms. */
 const SIGNAL_GAP_MS = 300;
 
-/** What a fault leaves behind counts as a disturbance for so long, ms: connections that were lost are found and opened again. */
-const AFTER_MS = 1000;
+/**
+ * A disturbance lasts this much longer than its fault, ms: the fleet needs the time to detect lost connections and to
+ * open new ones.
+ */
+const RECOVERY_MS = 1000;
 
 const TARGET_MODES: Readonly<Partial<Record<FaultKind, FaultMode>>> = {
   [FaultKind.TargetGray]: FaultMode.Gray,
   [FaultKind.TargetSheds]: FaultMode.Sheds,
   [FaultKind.TargetSlow]: FaultMode.Slow,
-  [FaultKind.TargetAnswerLost]: FaultMode.AnswerLost,
+  [FaultKind.TargetResponseLost]: FaultMode.AnswerLost,
   [FaultKind.TargetTruncates]: FaultMode.Truncate,
   [FaultKind.TargetSilent]: FaultMode.Silent,
 };
@@ -29,22 +32,25 @@
 
 const sleep = (ms: number) => new Promise<void>((resolve) => setTimeout(resolve, ms));
 
-/** Plays a schedule of faults on a fleet, from outside, and writes down what was done to whom and when. */
+/** Injects a schedule of faults into a fleet, from outside, and records which process was affected and when. */
 export class FaultPlayer {
   readonly #fleet: SoakFleet;
   readonly #operator: SoakOperator;
   readonly stops: StopRecord[] = [];
   readonly disturbances: Disturbance[] = [];
   readonly drains: { target: string; at: number }[] = [];
-  /** Processes that are being stopped or started: a fault that comes to one of them meanwhile is played on it as it is. */
-  readonly #turning = new Map<string, Promise<void>>();
+  /** By process: its latest stop or restart. Other faults that hit it meanwhile are injected without waiting. */
+  readonly #restarts = new Map<string, Promise<void>>();
 
   constructor(fleet: SoakFleet, operator: SoakOperator) {
     this.#fleet = fleet;
     this.#operator = operator;
   }
 
-  /** Plays all faults at their times; resolves once the last one is over and every process is up again. */
+  /**
+   * Injects all faults at their times; resolves once the last one is over, every process runs again, and every document
+   * change has its outcome.
+   */
   async play({ faults }: SoakPlan): Promise<void> {
     await Promise.all(
       faults.map(async (fault) => {
@@ -52,8 +58,8 @@
         await this.#playOne(fault);
       }),
     );
-    await Promise.all(this.#turning.values());
-    await this.#operator.settle();
+    await Promise.all(this.#restarts.values());
+    await this.#operator.waitForPending();
   }
 
   async #playOne(fault: PlannedFault): Promise<void> {
@@ -61,18 +67,18 @@
     const mode = TARGET_MODES[kind];
     const link = LINK_MODES[kind];
     if (mode !== undefined) {
-      await this.#holdTarget(on, kind, mode, forS);
+      await this.#faultTarget(on, kind, mode, forS);
     } else if (link !== undefined) {
-      await this.#holdLink(on, kind, link, forS);
+      await this.#faultLink(on, kind, link, forS);
     } else {
-      await this.#signalFault(fault);
+      await this.#playOther(fault);
     }
   }
 
-  async #signalFault({ kind, on, forS }: PlannedFault): Promise<void> {
+  async #playOther({ kind, on, forS }: PlannedFault): Promise<void> {
     switch (kind) {
       case FaultKind.Config:
-        this.#operator.change();
+        this.#operator.applyNext();
         return;
       case FaultKind.TargetDrains:
         await this.#fleet.drain(on);
@@ -80,7 +86,7 @@
         this.disturbances.push({ on, kind, from: this.#fleet.now, until: Infinity });
         return;
       case FaultKind.LinkReset:
-        this.#note(on, kind, 0);
+        this.#recordDisturbance(on, kind, 0);
         this.#fleet.links(on).forEach((link) => {
           link.reset();
         });
@@ -93,32 +99,32 @@
         return;
       case FaultKind.Kill:
       case FaultKind.Wipe:
-        await this.#turn(on, () => this.#kill(on, kind, forS));
+        await this.#runExclusive(on, () => this.#kill(on, kind, forS));
         return;
       case FaultKind.StopTwice:
       case FaultKind.PlannedStop:
-        await this.#turn(on, () => this.#stop(on, kind));
+        await this.#runExclusive(on, () => this.#stop(on, kind));
     }
   }
 
-  /** Has one thing at a time done to a process that ends and starts again by it. */
-  async #turn(on: string, act: () => Promise<void>): Promise<void> {
-    const before = this.#turning.get(on);
-    const turn = (before ?? Promise.resolve()).then(act);
-    this.#turning.set(on, turn);
-    await turn;
+  /** Runs the actions that end and restart a process one at a time. */
+  async #runExclusive(on: string, action: () => Promise<void>): Promise<void> {
+    const previous = this.#restarts.get(on);
+    const next = (previous ?? Promise.resolve()).then(action);
+    this.#restarts.set(on, next);
+    await next;
   }
 
-  async #holdTarget(on: string, kind: string, mode: FaultMode, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+  async #faultTarget(on: string, kind: string, mode: FaultMode, forS: number): Promise<void> {
+    const end = this.#beginDisturbance(on, kind);
     await this.#fleet.setFault(on, mode);
     await sleep(forS * 1000);
     await this.#fleet.setFault(on, FaultMode.None);
     end();
   }
 
-  async #holdLink(on: string, kind: string, mode: LinkMode, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+  async #faultLink(on: string, kind: string, mode: LinkMode, forS: number): Promise<void> {
+    const end = this.#beginDisturbance(on, kind);
     const links = this.#fleet.links(on);
     links.forEach((link) => {
       link.mode = mode;
@@ -127,7 +133,7 @@
     links.forEach((link) => {
       link.mode = LinkMode.Open;
       if (mode === LinkMode.Cut || mode === LinkMode.OneWay) {
-        // What was held up is lost: its connections are of no use any more.
+        // Bytes that were dropped leave a gap in the streams, so the connections are unusable.
         link.reset();
       }
     });
@@ -135,7 +141,7 @@
   }
 
   async #freeze(on: string, kind: string, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
+    const end = this.#beginDisturbance(on, kind);
     this.#fleet.signal(on, "SIGSTOP");
     await sleep(forS * 1000);
     this.#fleet.signal(on, "SIGCONT");
@@ -143,18 +149,18 @@
   }
 
   async #kill(on: string, kind: FaultKind, forS: number): Promise<void> {
-    const end = this.#begin(on, kind);
-    const ended = this.#fleet.ended(on);
+    const end = this.#beginDisturbance(on, kind);
+    const exited = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGKILL");
-    await ended;
+    await exited;
     await sleep(forS * 1000);
-    await this.#fleet.startAgain(on, kind === FaultKind.Wipe);
+    await this.#fleet.restart(on, kind === FaultKind.Wipe);
     end();
   }
 
   async #stop(on: string, kind: FaultKind): Promise<void> {
     const at = this.#fleet.now;
-    const ended = this.#fleet.ended(on);
+    const exited = this.#fleet.waitForExit(on);
     this.#fleet.signal(on, "SIGTERM");
     if (kind === FaultKind.StopTwice) {
       for (const signal of ["SIGHUP", "SIGTERM"] as const) {
@@ -162,25 +168,25 @@
         this.#fleet.signal(on, signal);
       }
     }
-    const code = await ended;
+    const code = await exited;
     this.stops.push({ on, at, endedAt: this.#fleet.now, code });
-    const end = this.#begin(on, "down");
-    await this.#fleet.startAgain(on, false);
+    const end = this.#beginDisturbance(on, "down");
+    await this.#fleet.restart(on, false);
     end();
   }
 
-  /** Notes a disturbance from now on; returns what ends it. */
-  #begin(on: string, kind: string): () => void {
+  /** Records a disturbance that starts now; returns the function that ends it. */
+  #beginDisturbance(on: string, kind: string): () => void {
     const from = this.#fleet.now;
-    const open = { on, kind, from, until: Infinity };
-    this.disturbances.push(open);
+    const disturbance = { on, kind, from, until: Infinity };
+    this.disturbances.push(disturbance);
     return () => {
-      open.until = this.#fleet.now + AFTER_MS;
+      disturbance.until = this.#fleet.now + RECOVERY_MS;
     };
   }
 
-  #note(on: string, kind: string, forMs: number): void {
+  #recordDisturbance(on: string, kind: string, forMs: number): void {
     const from = this.#fleet.now;
-    this.disturbances.push({ on, kind, from, until: from + forMs + AFTER_MS });
+    this.disturbances.push({ on, kind, from, until: from + forMs + RECOVERY_MS });
   }
 }
--- a/soak/LinkProxy.ts
+++ b/soak/LinkProxy.ts
@@ -1,62 +1,64 @@
-import { createSocket, type RemoteInfo, type Socket as Datagrams } from "node:dgram";
+import { createSocket, type RemoteInfo, type Socket as UdpSocket } from "node:dgram";
 import { connect, createServer, type Server, type Socket } from "node:net";
-import type { Draws } from "./seeded.ts";
+import type { Rng } from "./createRng.ts";
 
-/** How a link behaves. */
+/** How a link treats traffic. */
 export enum LinkMode {
+  /** Everything passes. */
   Open = "open",
-  /** Everything towards the process comes late. */
+  /** Everything is delayed, in both directions. */
   Delay = "delay",
-  /** Nothing passes, either way; connections stay open. */
+  /** Nothing passes in either direction; connections stay open. */
   Cut = "cut",
-  /** What is sent arrives, and nothing comes back. */
+  /** Traffic to the process passes; traffic from it is dropped. */
   OneWay = "one-way",
-  /** A third of the datagrams is lost, and a third comes late. */
+  /** A third of the datagrams is lost, and a third is delayed. TCP passes. */
   Lossy = "lossy",
 }
 
+/** Delay of everything that passes a delayed link, ms. */
 const DELAY_MS = 120;
 
-/** Of three datagrams on a lossy link one is lost, and one comes so late, ms. */
-const LATE_MS = 40;
+/** Delay of a third of the datagrams on a lossy link, ms. */
+const LOSSY_DELAY_MS = 40;
 
 const LOOPBACK = "127.0.0.1";
 
 /**
- * A proxy on loopback in front of one address of a process, for TCP and datagrams: what others send there goes
- * through it, and it can hold up, lose, or cut off what passes.
+ * A loopback proxy for TCP and UDP in front of one address of a process. Other processes send to the proxy, which can
+ * delay, drop or reset what passes.
  */
 export class LinkProxy {
-  readonly #to: number;
-  readonly #draws: Draws;
+  readonly #processPort: number;
+  readonly #rng: Rng;
   readonly #server: Server;
-  readonly #datagrams: Datagrams;
-  /** By the address of whoever sends datagrams: the socket that speaks for it. */
-  readonly #senders = new Map<string, Datagrams>();
+  readonly #udpSocket: UdpSocket;
+  /** By a datagram sender's address: the socket that relays its datagrams to the process, and the replies back. */
+  readonly #relays = new Map<string, UdpSocket>();
   readonly #sockets = new Set<Socket>();
   mode = LinkMode.Open;
 
-  /** @param to the port that the process listens at */
-  constructor(to: number, draws: Draws) {
-    this.#to = to;
-    this.#draws = draws;
+  /** @param processPort the port that the process listens on */
+  constructor(processPort: number, rng: Rng) {
+    this.#processPort = processPort;
+    this.#rng = rng;
     this.#server = createServer((socket) => {
-      this.#join(socket);
+      this.#connect(socket);
     });
-    this.#datagrams = createSocket("udp4", (message, from) => {
+    this.#udpSocket = createSocket("udp4", (message, from) => {
       this.#onDatagram(message, from);
     });
-    this.#datagrams.on("error", () => undefined);
+    this.#udpSocket.on("error", () => undefined);
   }
 
   async listen(port: number): Promise<void> {
     await new Promise<void>((resolve) => this.#server.listen(port, LOOPBACK, resolve));
     await new Promise<void>((resolve) => {
-      this.#datagrams.bind(port, LOOPBACK, resolve);
+      this.#udpSocket.bind(port, LOOPBACK, resolve);
     });
   }
 
-  /** Resets every connection through it. */
+  /** Resets every TCP connection through the proxy. */
   reset(): void {
     for (const socket of this.#sockets) {
       socket.resetAndDestroy();
@@ -65,24 +67,24 @@
 
   async close(): Promise<void> {
     this.reset();
-    this.#senders.forEach((s) => s.close());
-    this.#datagrams.close();
+    this.#relays.forEach((s) => s.close());
+    this.#udpSocket.close();
     await new Promise((resolve) => this.#server.close(resolve));
   }
 
-  #join(outer: Socket): void {
-    const inner = connect(this.#to, LOOPBACK);
-    this.#pass(outer, inner, "in");
-    this.#pass(inner, outer, "out");
+  #connect(client: Socket): void {
+    const upstream = connect(this.#processPort, LOOPBACK);
+    this.#forward(client, upstream, "in");
+    this.#forward(upstream, client, "out");
   }
 
-  #pass(from: Socket, to: Socket, way: "in" | "out"): void {
+  #forward(from: Socket, to: Socket, direction: "in" | "out"): void {
     this.#sockets.add(from);
     from.on("data", (chunk) => {
-      this.#later(way, () => to.write(chunk));
+      this.#deliver(direction, () => to.write(chunk));
     });
     from.on("end", () => {
-      this.#later(way, () => to.end());
+      this.#deliver(direction, () => to.end());
     });
     from.on("error", () => undefined);
     from.on("close", (hadError) => {
@@ -95,53 +97,54 @@
     });
   }
 
-  /** Lets something pass now, late, or never. */
-  #later(way: "in" | "out", act: () => void): void {
+  /** Runs `action`, which passes data on, at once, after a delay, or never, depending on the mode. */
+  #deliver(direction: "in" | "out", action: () => void): void {
     switch (this.mode) {
       case LinkMode.Cut:
         return;
       case LinkMode.OneWay:
-        if (way === "in") {
-          act();
+        if (direction === "in") {
+          action();
         }
         return;
       case LinkMode.Delay:
-        setTimeout(act, DELAY_MS);
+        setTimeout(action, DELAY_MS);
         return;
       case LinkMode.Open:
       case LinkMode.Lossy:
-        act();
+        action();
     }
   }
 
   #onDatagram(message: Buffer, from: RemoteInfo): void {
     const key = `${from.address}:${from.port}`;
-    let speaker = this.#senders.get(key);
-    if (!speaker) {
-      speaker = createSocket("udp4", (reply) => {
-        this.#laterDatagram("out", () => {
-          this.#datagrams.send(reply, from.port, from.address);
+    let relay = this.#relays.get(key);
+    if (!relay) {
+      relay = createSocket("udp4", (reply) => {
+        this.#deliverDatagram("out", () => {
+          this.#udpSocket.send(reply, from.port, from.address);
         });
       });
-      speaker.on("error", () => undefined);
-      this.#senders.set(key, speaker);
+      relay.on("error", () => undefined);
+      this.#relays.set(key, relay);
     }
-    const { send } = { send: speaker.send.bind(speaker) };
-    this.#laterDatagram("in", () => {
-      send(message, this.#to, LOOPBACK);
+    const { send } = { send: relay.send.bind(relay) };
+    this.#deliverDatagram("in", () => {
+      send(message, this.#processPort, LOOPBACK);
     });
   }
 
-  #laterDatagram(way: "in" | "out", act: () => void): void {
+  /** As `#deliver`, for one datagram: a lossy link drops and delays at random. */
+  #deliverDatagram(direction: "in" | "out", action: () => void): void {
     if (this.mode !== LinkMode.Lossy) {
-      this.#later(way, act);
+      this.#deliver(direction, action);
       return;
     }
-    const fate = this.#draws.int(1, 3);
-    if (fate === 2) {
-      setTimeout(act, LATE_MS);
-    } else if (fate === 3) {
-      act();
+    const outcome = this.#rng.int(1, 3);
+    if (outcome === 2) {
+      setTimeout(action, LOSSY_DELAY_MS);
+    } else if (outcome === 3) {
+      action();
     }
   }
 }
--- a/soak/SoakCallers.ts
+++ b/soak/SoakCallers.ts
@@ -1,24 +1,25 @@
 import { Agent, request, type IncomingMessage } from "node:http";
 import type { CallRecord } from "./History.ts";
-import { seeded, type Draws } from "./seeded.ts";
+import { createRng, type Rng } from "./createRng.ts";
 import type { SoakFleet } from "./SoakFleet.ts";
 import { CallKind, type SoakPlan } from "./SoakPlan.ts";
 
-/** Bodies of answers that are asked for, bytes: most are small, some go out in many pieces. */
-const ANSWER_BYTES = [0, 0, 200, 20_000, 200_000];
+/** Lengths of requested response bodies, bytes: most are small, some are sent in many chunks. */
+const RESPONSE_BYTES = [0, 0, 200, 20_000, 200_000];
 
 /** Body of an upload, bytes. */
 const UPLOAD_BYTES = 300_000;
 
-/** A caller gives up after this long, ms: past the route's timeout and a little. */
+/** Time after which a caller gives up, ms: longer than the route's timeout. */
 const GIVE_UP_MS = 4000;
 
-/** A keyed booking without a clear outcome is sent again after this long, ms, and so many times. */
-const RESEND_MS = 400;
-const RESENDS = 3;
+/** Delay after which a keyed booking without a final outcome is sent again, ms. */
+const RESEND_DELAY_MS = 400;
+/** Largest number of resends of one keyed booking. */
+const MAX_RESENDS = 3;
 
-/** Requests in a row that a caller sends without waiting, now and then. */
-const PIPELINED = 3;
+/** Lookups that a caller occasionally issues at once for one connection. */
+const BURST_LENGTH = 3;
 
 const SERVICE_OF: Readonly<Record<CallKind, string>> = {
   [CallKind.Check]: "desk",
@@ -28,26 +29,28 @@
   [CallKind.Upload]: "bookings",
 };
 
-/** What one exchange came to. */
-type Seen = Pick<CallRecord, "status" | "verdict" | "bodyTag" | "isWhole" | "hadBegun">;
+/** The outcome of one exchange, as the caller observed it. */
+type CallOutcome = Pick<CallRecord, "status" | "verdict" | "bodyTag" | "isWhole" | "hadBegun">;
 
-/** What a caller sends. */
-interface Wanted {
+/** A request that a caller is to send. */
+interface CallSpec {
   readonly tag: string;
   readonly kind: CallKind;
+  /** Requested length of the response body's filler. */
   readonly bytes: number;
+  /** Idempotency key. */
   readonly key: string | undefined;
 }
 
-/** The users: they send requests at the plan's rates, through sidecars that are ready, and write down what they get. */
+/** Simulates callers: sends requests at the plan's rates through sidecars that are ready, and records the outcomes. */
 export class SoakCallers {
   readonly #fleet: SoakFleet;
   readonly #plan: SoakPlan;
   readonly #isReady: (vm: string) => boolean;
-  readonly #draws: Draws;
-  /** Connections are kept for as long as the process at the other end is there. */
+  readonly #rng: Rng;
+  /** Keeps connections open for as long as the process at the other end runs. */
   readonly #agent = new Agent({ keepAlive: true, maxFreeSockets: 64 });
-  readonly #open = new Set<Promise<void>>();
+  readonly #pending = new Set<Promise<void>>();
   readonly #timers = new Set<NodeJS.Timeout>();
   readonly records: CallRecord[] = [];
   #count = 0;
@@ -56,10 +59,10 @@
     this.#fleet = fleet;
     this.#plan = plan;
     this.#isReady = isReady;
-    this.#draws = seeded(plan.seed + 2);
+    this.#rng = createRng(plan.seed + 2);
   }
 
-  /** Sends until the plan's time is over; resolves once all have their answers. */
+  /** Sends requests for the plan's duration; resolves once every request has its outcome. */
   async run(): Promise<void> {
     for (const kind of Object.values(CallKind)) {
       this.#sendNext(kind);
@@ -68,13 +71,14 @@
     this.#timers.forEach((timer) => {
       clearTimeout(timer);
     });
-    await Promise.all(this.#open);
+    await Promise.all(this.#pending);
     this.#agent.destroy();
   }
 
+  /** Schedules the next request of `kind`, after an exponentially distributed interval. */
   #sendNext(kind: CallKind): void {
     const rate = this.#plan.rates[kind];
-    const waitMs = (-Math.log(1 - this.#draws.between(0, 0.999)) * 1000) / Math.max(0.01, rate);
+    const waitMs = (-Math.log(1 - this.#rng.between(0, 0.999)) * 1000) / Math.max(0.01, rate);
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
       this.#send(kind);
@@ -84,57 +88,60 @@
   }
 
   #send(kind: CallKind): void {
-    const via = this.#draws.pick(this.#readyVms());
-    const isPipelined = kind === CallKind.Lookup && this.#draws.int(1, 12) === 1;
-    const done = isPipelined ? this.#callInARow(via) : this.#call(via, this.#want(kind));
-    this.#open.add(done);
-    void done.finally(() => this.#open.delete(done));
+    const via = this.#rng.pick(this.#readyVms());
+    const isBurst = kind === CallKind.Lookup && this.#rng.int(1, 12) === 1;
+    const done = isBurst ? this.#callOnOneConnection(via) : this.#call(via, this.#nextCall(kind));
+    this.#pending.add(done);
+    void done.finally(() => this.#pending.delete(done));
   }
 
+  /** VMs whose sidecars are ready; all VMs where none is. */
   #readyVms(): readonly string[] {
     const ready = this.#fleet.vms.filter(this.#isReady);
     return ready.length > 0 ? ready : this.#fleet.vms;
   }
 
-  #want(kind: CallKind): Wanted {
+  #nextCall(kind: CallKind): CallSpec {
     const tag = `${kind}-${++this.#count}`;
     const key = kind === CallKind.KeyedBooking ? tag : undefined;
-    return { tag, kind, bytes: this.#draws.pick(ANSWER_BYTES), key };
+    return { tag, kind, bytes: this.#rng.pick(RESPONSE_BYTES), key };
   }
 
-  /** Several lookups on one connection, without waiting for answers. */
-  async #callInARow(via: string): Promise<void> {
+  /** Issues several lookups at once for one connection; the agent sends each after the response to the previous one. */
+  async #callOnOneConnection(via: string): Promise<void> {
     const agent = new Agent({ keepAlive: true, maxSockets: 1 });
-    const wanted = Array.from({ length: PIPELINED }, () => this.#want(CallKind.Lookup));
-    await Promise.all(wanted.map((want) => this.#exchange(via, want, agent, undefined)));
+    const specs = Array.from({ length: BURST_LENGTH }, () => this.#nextCall(CallKind.Lookup));
+    await Promise.all(specs.map((spec) => this.#exchange(via, spec, agent, undefined)));
     agent.destroy();
   }
 
-  async #call(via: string, want: Wanted): Promise<void> {
-    let last = await this.#exchange(via, want, this.#agent, undefined);
-    for (let n = 1; want.key !== undefined && n <= RESENDS && !isFinal(last); n++) {
-      await new Promise((resolve) => setTimeout(resolve, RESEND_MS));
-      const again = { ...want, tag: `${want.tag}.${n}` };
-      last = await this.#exchange(this.#draws.pick(this.#readyVms()), again, this.#agent, want.tag);
+  /** Sends a request, and resends it under its idempotency key, if it has one, until the outcome is final. */
+  async #call(via: string, spec: CallSpec): Promise<void> {
+    let last = await this.#exchange(via, spec, this.#agent, undefined);
+    for (let n = 1; spec.key !== undefined && n <= MAX_RESENDS && !isFinal(last); n++) {
+      await new Promise((resolve) => setTimeout(resolve, RESEND_DELAY_MS));
+      const resend = { ...spec, tag: `${spec.tag}.${n}` };
+      last = await this.#exchange(this.#rng.pick(this.#readyVms()), resend, this.#agent, spec.tag);
     }
   }
 
+  /** Sends one request and records its outcome. */
   async #exchange(
     via: string,
-    want: Wanted,
+    spec: CallSpec,
     agent: Agent,
     resendOf: string | undefined,
-  ): Promise<Seen> {
+  ): Promise<CallOutcome> {
     const sentAt = this.#fleet.now;
-    const seen = await this.#ask(this.#fleet.callerPort(via), want, agent);
-    const { tag, kind } = want;
+    const outcome = await this.#request(this.#fleet.callerPort(via), spec, agent);
+    const { tag, kind } = spec;
     const service = SERVICE_OF[kind];
     const endedAt = this.#fleet.now;
-    this.records.push({ tag, kind, service, via, resendOf, sentAt, endedAt, ...seen });
-    return seen;
+    this.records.push({ tag, kind, service, via, resendOf, sentAt, endedAt, ...outcome });
+    return outcome;
   }
 
-  #ask(port: number, { tag, kind, bytes, key }: Wanted, agent: Agent): Promise<Seen> {
+  #request(port: number, { tag, kind, bytes, key }: CallSpec, agent: Agent): Promise<CallOutcome> {
     const isBooking = SERVICE_OF[kind] === "bookings";
     const headers: Record<string, string> = { "x-caller-tag": tag };
     if (key !== undefined) {
@@ -149,34 +156,34 @@
       headers,
     };
     return new Promise((resolve) => {
-      let isOver = false;
+      let isSettled = false;
       let hadBegun = false;
-      const end = (seen: Seen) => {
-        if (!isOver) {
-          isOver = true;
+      const settle = (outcome: CallOutcome) => {
+        if (!isSettled) {
+          isSettled = true;
           clearTimeout(timer);
-          resolve(seen);
+          resolve(outcome);
         }
       };
-      const nothing = () => {
-        end({ ...NOTHING, hadBegun });
+      const onFailure = () => {
+        settle({ ...NO_RESPONSE, hadBegun });
       };
       const req = request(options, (res) => {
         hadBegun = true;
-        readSeen(res, bytes).then(end, nothing);
+        readOutcome(res, bytes).then(settle, onFailure);
       });
       const timer = setTimeout(() => {
-        // Left by its caller: neither cut nor answered.
-        end({ ...NOTHING, verdict: "left", hadBegun });
+        // The caller gave up: the request counts neither as aborted nor as answered.
+        settle({ ...NO_RESPONSE, verdict: "left", hadBegun });
         req.destroy();
       }, GIVE_UP_MS);
-      req.on("error", nothing);
+      req.on("error", onFailure);
       req.end(kind === CallKind.Upload ? Buffer.alloc(UPLOAD_BYTES, "u") : undefined);
     });
   }
 }
 
-const NOTHING: Seen = {
+const NO_RESPONSE: CallOutcome = {
   status: 0,
   verdict: "",
   bodyTag: undefined,
@@ -184,8 +191,8 @@
   hadBegun: false,
 };
 
-/** Reads an answer to its end; rejects when it breaks off. */
-async function readSeen(res: IncomingMessage, bytes: number): Promise<Seen> {
+/** Reads a response to its end; rejects if the connection ends before that. */
+async function readOutcome(res: IncomingMessage, bytes: number): Promise<CallOutcome> {
   const chunks: Buffer[] = [];
   for await (const chunk of res as AsyncIterable<Buffer>) {
     chunks.push(chunk);
@@ -204,7 +211,7 @@
   }
 }
 
-/** Nothing is to be learned by sending it again. */
-function isFinal({ status, verdict }: Seen): boolean {
+/** Whether a resend could not give a clearer outcome. */
+function isFinal({ status, verdict }: CallOutcome): boolean {
   return status === 200 || (verdict === "may-have-run" && status !== 0);
 }
--- a/soak/checks/Check.ts
+++ b/soak/checks/Check.ts
@@ -1,23 +1,24 @@
 import type { History } from "../History.ts";
 
-/** A promise that was broken. */
-export interface Finding {
+/** One violation of a guarantee. */
+export interface Violation {
   /** When, ms after the start of the load. */
   readonly at: number;
+  /** Description of the violation, as the report shows it. */
   readonly what: string;
 }
 
-/** What holding a history against a promise came to. */
-export interface Checked {
-  /** How often the promise was put to the test. */
+/** Result of checking a history for violations of one guarantee. */
+export interface CheckResult {
+  /** Number of observations that were checked. */
   readonly count: number;
-  readonly findings: readonly Finding[];
+  readonly violations: readonly Violation[];
 }
 
-/** A promise of the product, and how a history is held against it. */
+/** A guarantee of the product, and the function that checks a history for violations of it. */
 export interface Check {
-  readonly promise: string;
-  /** It has a bound in time, which a machine with more work than cores may miss without a fault of the product. */
+  readonly guarantee: string;
+  /** The guarantee has a time bound, which an overloaded machine may miss although the product has no fault. */
   readonly isTimed: boolean;
-  readonly run: (history: History) => Checked;
+  readonly run: (history: History) => CheckResult;
 }
--- a/soak/checks/retryBudget.ts
+++ b/soak/checks/retryBudget.ts
@@ -1,35 +1,39 @@
-import type { Check, Finding } from "./Check.ts";
-import { CALL_MARK } from "../CALL_MARK.ts";
+import type { Check, Violation } from "./Check.ts";
+import { NESTED_CALL_SEPARATOR } from "../NESTED_CALL_SEPARATOR.ts";
 import type { CallRecord, TargetRecord } from "../History.ts";
 
-/** What the fleet may send beside callers' own requests; the settings of the soak's fleets. */
-export interface FleetBudget {
+/** The retry budget that the soak run's fleet is configured with. */
+export interface FleetRetryBudget {
+  /** Extra arrivals allowed for each request of a caller. */
   readonly ratio: number;
+  /** Length of the window, ms. */
   readonly windowMs: number;
+  /** Extra arrivals allowed in each window in addition, whatever the number of requests. */
   readonly slack: number;
 }
 
 /**
- * Extra arrivals at a service stay within the retry budget in every window, over the whole fleet, restarts
- * included. Calls made by a run that repeats another are extra too.
+ * Checks that extra arrivals at a service stay within the retry budget in every window, over the whole fleet and across
+ * restarts. Nested calls made by a repeated run are extra too.
  */
-export function retryBudget(budget: FleetBudget): Check {
+export function retryBudget(budget: FleetRetryBudget): Check {
   return {
-    promise: "repeats stay within the retry budget",
+    guarantee: "extra arrivals at targets stay within the retry budget",
     isTimed: false,
     run: ({ calls, targets }) => {
       const services = [...new Set(targets.map((t) => t.service))];
-      const extras = extrasOf(targets);
-      const findings = services.flatMap((service) => {
+      const extras = extraArrivals(targets);
+      const violations = services.flatMap((service) => {
         const requests = calls.filter((c) => c.service === service).map((c) => c.sentAt);
-        const worst = worstOf(extras.get(service) ?? [], requests, budget);
-        return worst && worst.count > worst.allowed ? [toFinding(service, worst)] : [];
+        const worst = worstWindow(extras.get(service) ?? [], requests, budget);
+        return worst && worst.count > worst.allowed ? [toViolation(service, worst)] : [];
       });
-      return { count: [...extras.values()].flat().length, findings };
+      return { count: [...extras.values()].flat().length, violations };
     },
   };
 }
 
+/** Extra arrivals in one window, and the number that its requests allow. */
 interface Window {
   readonly from: number;
   readonly count: number;
@@ -37,35 +41,37 @@
   readonly allowed: number;
 }
 
-/** When extras arrived, by service. */
-function extrasOf(targets: readonly TargetRecord[]): Map<string, number[]> {
-  // Looks at the document in force have no tag: each is a request of its own.
+/** Times of extra arrivals, by service. */
+function extraArrivals(targets: readonly TargetRecord[]): Map<string, number[]> {
+  // Probes for the document in force have no tag and are never repeats.
   const arrivals = targets
     .filter((t) => t.event === "arrived" && t.tag !== "")
     .sort((a, b) => a.at - b.at);
-  const seen = new Map<string, number>();
+  const counts = new Map<string, number>();
   const extras = new Map<string, number[]>();
   for (const { tag, at, service } of arrivals) {
-    const before = seen.get(tag) ?? 0;
-    seen.set(tag, before + 1);
-    const [parent = ""] = tag.split(CALL_MARK);
-    const isOfRepeat = tag !== parent && (seen.get(parent) ?? 0) > 1;
-    if (before > 0 || isOfRepeat) {
+    const earlier = counts.get(tag) ?? 0;
+    counts.set(tag, earlier + 1);
+    const [parent = ""] = tag.split(NESTED_CALL_SEPARATOR);
+    const isCallOfRepeat = tag !== parent && (counts.get(parent) ?? 0) > 1;
+    if (earlier > 0 || isCallOfRepeat) {
       extras.set(service, [...(extras.get(service) ?? []), at]);
     }
   }
   return extras;
 }
 
-function worstOf(
+/** The window with the most extra arrivals in proportion to the number allowed; undefined without extra arrivals. */
+function worstWindow(
   extras: readonly number[],
   requests: readonly CallRecord["sentAt"][],
-  { ratio, windowMs, slack }: FleetBudget,
+  { ratio, windowMs, slack }: FleetRetryBudget,
 ): Window | undefined {
   const within = (list: readonly number[], from: number) =>
     list.filter((at) => from <= at && at < from + windowMs).length;
   const windows = extras.map((from) => {
-    // Requests of the window before count where there were more: extras may lag behind them.
+    // Extra arrivals may lag behind their requests, so the window that starts half or a whole window earlier counts
+    // instead if it had more requests.
     const counted = Math.max(
       within(requests, from),
       within(requests, from - windowMs / 2),
@@ -77,7 +83,7 @@
   return windows.sort((a, b) => b.count / b.allowed - a.count / a.allowed)[0];
 }
 
-function toFinding(service: string, { from, count, requests, allowed }: Window): Finding {
+function toViolation(service: string, { from, count, requests, allowed }: Window): Violation {
   const what = `${service}: ${count} extra arrivals for ${requests} requests, allowed ${allowed}`;
   return { at: from, what };
 }
--- a/soak/checks/runsOnce.ts
+++ b/soak/checks/runsAtMostOnce.ts
@@ -1,15 +1,16 @@
 import { CallKind } from "../SoakPlan.ts";
 import type { Check } from "./Check.ts";
 
-const ONCE = new Set([CallKind.Booking, CallKind.KeyedBooking, CallKind.Upload]);
+/** Kinds of requests that must not be repeated. */
+const NON_REPEATABLE = new Set([CallKind.Booking, CallKind.KeyedBooking, CallKind.Upload]);
 
-/** Work that must not repeat runs at most once for each request, and at most once under a key. */
-export const runsOnce: Check = {
-  promise: "work that must not repeat runs at most once",
+/** Checks that a request that must not be repeated runs at most once, and at most once for each idempotency key. */
+export const runsAtMostOnce: Check = {
+  guarantee: "requests that must not be repeated run at most once",
   isTimed: false,
   run: ({ calls, targets }) => {
     const keyOf = new Map(
-      calls.filter((c) => ONCE.has(c.kind)).map((c) => [c.tag, c.resendOf ?? c.tag]),
+      calls.filter((c) => NON_REPEATABLE.has(c.kind)).map((c) => [c.tag, c.resendOf ?? c.tag]),
     );
     const runs = new Map<string, typeof targets>();
     for (const record of targets) {
@@ -18,10 +19,10 @@
         runs.set(key, [...(runs.get(key) ?? []), record]);
       }
     }
-    const twice = [...runs].filter(([, list]) => list.length > 1);
+    const repeated = [...runs].filter(([, list]) => list.length > 1);
     return {
       count: runs.size,
-      findings: twice.map(([key, list]) => ({
+      violations: repeated.map(([key, list]) => ({
         at: list.at(-1)?.at ?? 0,
         what: `${key} ran ${list.length} times: ${list.map((r) => `${r.target} as ${r.tag}`).join(", ")}`,
       })),
--- a/soak/minimizeSoak.ts
+++ b/soak/minimizeSoak.ts
@@ -1,8 +1,8 @@
 import type { PlannedFault, SoakPlan } from "./SoakPlan.ts";
 
 /**
- * Drops faults from a plan for as long as `fails` says that what is left still fails: halves first, then single
- * ones (delta debugging; Zeller and Hildebrandt, 2002).
+ * Reduces a failing plan's faults for as long as `fails` reports that the reduced plan still fails: drops halves first,
+ * then smaller pieces down to single faults (delta debugging; Zeller and Hildebrandt, 2002).
  */
 export async function minimizeSoak(
   plan: SoakPlan,
@@ -11,7 +11,7 @@
   let faults = plan.faults;
   let pieces = 2;
   while (faults.length > 1) {
-    const smaller = await firstThatFails(plan, without(faults, pieces), fails);
+    const smaller = await firstFailing(plan, withoutEachPiece(faults, pieces), fails);
     if (smaller) {
       faults = smaller;
       pieces = Math.max(2, pieces - 1);
@@ -24,15 +24,16 @@
   return { ...plan, faults };
 }
 
-/** The schedule with each of so many pieces left out. */
-function without(faults: readonly PlannedFault[], pieces: number): PlannedFault[][] {
+/** Splits the faults into `pieces`, and returns for each piece the schedule without it. */
+function withoutEachPiece(faults: readonly PlannedFault[], pieces: number): PlannedFault[][] {
   const size = Math.ceil(faults.length / pieces);
   return Array.from({ length: pieces }, (_, n) =>
     faults.filter((_fault, i) => Math.floor(i / size) !== n),
   ).filter((rest) => rest.length < faults.length);
 }
 
-async function firstThatFails(
+/** Returns the first of the schedules with which the plan fails; undefined if none does. */
+async function firstFailing(
   plan: SoakPlan,
   candidates: readonly (readonly PlannedFault[])[],
   fails: (plan: SoakPlan) => Promise<boolean>,
--- a/soak/playSoak.ts
+++ b/soak/playSoak.ts
@@ -1,39 +1,39 @@
 import { allChecks } from "./checks/allChecks.ts";
-import type { Check, Checked } from "./checks/Check.ts";
+import type { Check, CheckResult } from "./checks/Check.ts";
 import { FaultPlayer } from "./FaultPlayer.ts";
 import type { History } from "./History.ts";
 import { SoakCallers } from "./SoakCallers.ts";
 import { SOAK_BUDGET, SoakFleet } from "./SoakFleet.ts";
 import { SoakOperator } from "./SoakOperator.ts";
 import type { SoakPlan } from "./SoakPlan.ts";
-import { SoakWatch } from "./SoakWatch.ts";
+import { SoakMonitor } from "./SoakMonitor.ts";
 
-/** What a run came to. */
+/** Result of a soak run. */
 export interface SoakResult {
   readonly plan: SoakPlan;
   readonly history: History;
-  readonly checked: readonly (Pick<Check, "promise" | "isTimed"> & Checked)[];
-  /** The folder with the processes' logs and what the stand-ins wrote down. */
+  readonly results: readonly (Pick<Check, "guarantee" | "isTimed"> & CheckResult)[];
+  /** The directory with the processes' logs and the stand-in targets' journals. */
   readonly dir: string;
 }
 
-/** Plays a plan with real processes, and holds what was seen against every promise. */
+/** Plays a plan with real processes, and checks the recorded history for violations of every guarantee. */
 export async function playSoak(plan: SoakPlan): Promise<SoakResult> {
   const fleet = new SoakFleet(plan);
   const stopAll = () => {
-    // Interrupted: the processes end with this one, and no others.
+    // On an interrupt, stops the fleet's own processes and no others.
     void fleet.stop().finally(() => process.exit(130));
   };
   process.once("SIGINT", stopAll);
   process.once("SIGTERM", stopAll);
   try {
-    const history = await playOn(fleet, plan);
-    const checked = allChecks(SOAK_BUDGET).map(({ promise, isTimed, run }) => ({
-      promise,
+    const history = await recordHistory(fleet, plan);
+    const results = allChecks(SOAK_BUDGET).map(({ guarantee, isTimed, run }) => ({
+      guarantee,
       isTimed,
       ...run(history),
     }));
-    return { plan, history, checked, dir: fleet.dir };
+    return { plan, history, results, dir: fleet.dir };
   } finally {
     process.off("SIGINT", stopAll);
     process.off("SIGTERM", stopAll);
@@ -41,30 +41,31 @@
   }
 }
 
-async function playOn(fleet: SoakFleet, plan: SoakPlan): Promise<History> {
+/** Starts the fleet, plays the load and the faults, and returns the history. */
+async function recordHistory(fleet: SoakFleet, plan: SoakPlan): Promise<History> {
   await fleet.start();
   const operator = new SoakOperator(fleet, plan);
-  await fleet.settle(await operator.first());
-  const watch = new SoakWatch(fleet, operator);
-  const callers = new SoakCallers(fleet, plan, (vm) => watch.isReady(vm));
-  const faults = new FaultPlayer(fleet, operator);
-  watch.start();
+  await fleet.startLoad(await operator.applyFirst());
+  const monitor = new SoakMonitor(fleet, operator);
+  const callers = new SoakCallers(fleet, plan, (vm) => monitor.isReady(vm));
+  const faultPlayer = new FaultPlayer(fleet, operator);
+  monitor.start();
   let faultsEndAt = 0;
-  const played = faults.play(plan).then(() => {
+  const played = faultPlayer.play(plan).then(() => {
     faultsEndAt = fleet.now;
   });
   await Promise.all([callers.run(), played]);
-  watch.stop();
+  monitor.stop();
   return {
     calls: callers.records,
     targets: await fleet.targetRecords(),
-    stops: faults.stops,
+    stops: faultPlayer.stops,
     configs: operator.records,
-    configLooks: watch.configs,
-    readyLooks: watch.ready,
-    disturbances: faults.disturbances,
-    drains: faults.drains,
-    uses: watch.uses,
+    configLooks: monitor.configSamples,
+    readyLooks: monitor.readinessSamples,
+    disturbances: faultPlayer.disturbances,
+    drains: faultPlayer.drains,
+    uses: monitor.resourceSamples,
     faultsEndAt,
     endAt: fleet.now,
   };
