--- a/src/sidecar/ingress/CallerConnections.ts
+++ b/src/sidecar/ingress/CallerConnections.ts
@@ -1,71 +1,74 @@
 import type { ServerResponse } from "node:http";
 import type { Socket } from "node:net";
 
-/** One request on its caller's connection. */
-interface OpenRequest {
-  /** Aborted when the connection has closed before the answer was written. */
-  readonly left: AbortSignal;
-  /** No other request on this connection is still to be answered. */
+/** A request, in relation to its caller's connection. */
+interface TrackedRequest {
+  /** Aborted when the connection closes before the response has been written. */
+  readonly disconnected: AbortSignal;
+  /** Whether this is the only request on its connection that is still without a whole response. */
   readonly isLast: () => boolean;
 }
 
-/** Requests on one connection that are not answered yet. */
-type OpenRequests = Map<AbortController, ServerResponse>;
+/** Requests on one connection whose responses have not been written whole. */
+type PendingRequests = Map<AbortController, ServerResponse>;
 
 /**
- * Callers' connections, and the requests on each that are not answered yet. A caller
- * may send further requests before the first one is answered; Node then tells only the
- * first of them when the connection closes, and the others would be worked on for nobody.
+ * Tracks the pending requests on each caller's connection. A caller may pipeline requests. When
+ * its connection closes, Node emits `close` only on the response to the first of them, and the
+ * others would be processed although nobody receives their responses.
  */
 export class CallerConnections {
-  readonly #open = new WeakMap<Socket, OpenRequests>();
-  /** Connections that end with the answer to the last request that was read. */
-  readonly #ending = new WeakSet<Socket>();
+  readonly #pending = new WeakMap<Socket, PendingRequests>();
+  /** Connections that are closed after the response to the last request that was read whole. */
+  readonly #closing = new WeakSet<Socket>();
 
-  /** Notes a request that has arrived. */
-  enter(res: ServerResponse): OpenRequest {
+  /** Adds a request that has arrived; it stays until its response is written or the connection closes. */
+  track(res: ServerResponse): TrackedRequest {
     const { socket } = res.req;
     const requests = this.#requestsOn(socket);
-    const left = new AbortController();
-    requests.set(left, res);
+    const controller = new AbortController();
+    requests.set(controller, res);
     res.once("finish", () => {
-      requests.delete(left);
-      if (this.#ending.has(socket) && !this.isBusy(socket)) {
+      requests.delete(controller);
+      if (this.#closing.has(socket) && !this.hasPendingRequest(socket)) {
         socket.destroySoon();
       }
     });
-    return { left: left.signal, isLast: () => requests.size === 1 && requests.has(left) };
+    return {
+      disconnected: controller.signal,
+      isLast: () => requests.size === 1 && requests.has(controller),
+    };
   }
 
-  /** Whether a request on `socket` that was read whole is still to be answered. */
-  isBusy(socket: Socket): boolean {
-    return this.#answersOn(socket).some((res) => res.req.complete);
+  /** Whether a request on `socket` that was read whole is still without a whole response. */
+  hasPendingRequest(socket: Socket): boolean {
+    return this.#responsesOn(socket).some((res) => res.req.complete);
   }
 
-  /** Whether a part of an answer was written on `socket`, and not the whole. */
-  isAnswering(socket: Socket): boolean {
-    return this.#answersOn(socket).some((res) => res.headersSent);
+  /** Whether a response on `socket` has been started but not finished. */
+  hasStartedResponse(socket: Socket): boolean {
+    return this.#responsesOn(socket).some((res) => res.headersSent);
   }
 
-  /** Ends `socket` once every request on it that was read whole has been answered. */
-  endWhenAnswered(socket: Socket): void {
-    this.#ending.add(socket);
+  /** Closes `socket` once the responses to all requests on it that were read whole have been written. */
+  closeAfterResponses(socket: Socket): void {
+    this.#closing.add(socket);
   }
 
-  #answersOn(socket: Socket): readonly ServerResponse[] {
-    return [...(this.#open.get(socket)?.values() ?? [])];
+  #responsesOn(socket: Socket): readonly ServerResponse[] {
+    return [...(this.#pending.get(socket)?.values() ?? [])];
   }
 
-  #requestsOn(socket: Socket): OpenRequests {
-    const known = this.#open.get(socket);
+  #requestsOn(socket: Socket): PendingRequests {
+    const known = this.#pending.get(socket);
     if (known) {
       return known;
     }
-    const requests: OpenRequests = new Map();
-    this.#open.set(socket, requests);
+    const requests: PendingRequests = new Map();
+    this.#pending.set(socket, requests);
     socket.once("close", () => {
-      for (const left of requests.keys()) {
-        left.abort();
+      for (const controller of requests.keys()) {
+        controller.abort();
       }
       requests.clear();
     });
--- a/src/sidecar/ingress/CallerServer.ts
+++ b/src/sidecar/ingress/CallerServer.ts
@@ -133,9 +133,9 @@
    * for work that is running.
    */
   #onMalformed(err: NodeJS.ErrnoException, socket: Socket): void {
-    if (this.#connections.isBusy(socket)) {
-      this.#connections.endWhenAnswered(socket);
-    } else if (this.#connections.isAnswering(socket)) {
+    if (this.#connections.hasPendingRequest(socket)) {
+      this.#connections.closeAfterResponses(socket);
+    } else if (this.#connections.hasStartedResponse(socket)) {
       socket.destroy();
     } else {
       refuseMalformed(err, socket);
@@ -144,7 +144,7 @@
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const startedAt = this.#deps.clock.now();
-    const { left, isLast } = this.#connections.enter(res);
+    const { disconnected: left, isLast } = this.#connections.track(res);
     if (!this.#deps.config()) {
       await this.#deps.waitForConfig();
     }
