--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -145,7 +145,7 @@
     const follower = this.#follow(table, note, () => {
       const { document } = follower;
       if (document) {
-        caller.server?.limit(document.limits);
+        caller.server?.applyLimits(document.limits);
         documentWait.release();
       }
     });
--- a/src/sidecar/ingress/CallerServer.test.ts
+++ b/src/sidecar/ingress/CallerServer.test.ts
@@ -32,9 +32,12 @@
   outcome: AttemptOutcome.Shed,
 };
 
-/** A caller server whose requests are settled by the test, by their paths, and one connection to it. */
-async function open(t: ExecutionContext, limits: Partial<Limits> = {}) {
-  const courses = new Map<string, { req: CallerRequest; settle: (out: ForwardResult) => void }>();
+/** Opens a caller server and a connection to it; the test settles each request, found by its path in `dispatched`. */
+async function openConnection(t: ExecutionContext, limits: Partial<Limits> = {}) {
+  const dispatched = new Map<
+    string,
+    { req: CallerRequest; settle: (out: ForwardResult) => void }
+  >();
   const route = makeRoute();
   const server = new CallerServer({
     originOf: () => RequestOrigin.Unknown,
@@ -47,7 +50,7 @@
     dispatcher: {
       dispatch: (_route, req) =>
         new Promise((settle) => {
-          courses.set(req.path, { req, settle });
+          dispatched.set(req.path, { req, settle });
         }),
     },
     dialect: ownDialect,
@@ -64,38 +67,38 @@
     server.server.close();
     server.server.closeAllConnections();
   });
-  let seen = "";
-  socket.on("data", (chunk: Buffer) => (seen += chunk.toString("latin1")));
+  let received = "";
+  socket.on("data", (chunk: Buffer) => (received += chunk.toString("latin1")));
   socket.on("error", () => undefined);
-  return { server, socket, courses, seen: () => seen };
+  return { server, socket, dispatched, received: () => received };
 }
 
-/** Sends several requests without waiting for an answer; resolves once all have been taken. */
+/** Sends several requests without waiting for responses; resolves once all of them have been dispatched. */
 async function pipeline(
   socket: Socket,
-  courses: ReadonlyMap<string, unknown>,
+  dispatched: ReadonlyMap<string, unknown>,
   paths: readonly string[],
 ): Promise<void> {
   socket.write(paths.map((path) => `GET ${path} HTTP/1.1\r\nhost: a\r\n\r\n`).join(""));
-  await eventually(() => paths.every((path) => courses.has(path)));
+  await eventually(() => paths.every((path) => dispatched.has(path)));
 }
 
-/** The bodies of the answers in `seen`, in order; refusals by their status. */
-const answers = (seen: string) =>
-  seen
+/** The bodies of the responses in `received`, in order; the status instead where it is not 200. */
+const responsesIn = (received: string) =>
+  received
     .split(/(?=HTTP\/1\.1 )/)
     .filter((part) => part !== "")
     .map((part) =>
       part.startsWith("HTTP/1.1 200") ? part.split("\r\n\r\n")[1] : part.slice(9, 12),
     );
 
-const orders: readonly {
+const settlements: readonly {
   name: string;
   settled: readonly [path: string, out: ForwardResult][];
   want: readonly string[];
 }[] = [
   {
-    name: "the first one slow, the ones behind it ready before",
+    name: "the first one slower than those after it",
     settled: [
       ["/c", done("third")],
       ["/b", done("second")],
@@ -104,7 +107,7 @@
     want: ["first", "second", "third"],
   },
   {
-    name: "one in the middle refused",
+    name: "the middle one refused",
     settled: [
       ["/b", notRun],
       ["/c", done("third")],
@@ -114,61 +117,64 @@
   },
 ];
 
-for (const { name, settled, want } of orders) {
-  test(`pipelined requests are answered in their order, each with its own answer: ${name}`, async (t) => {
-    const { socket, courses, seen } = await open(t);
-    await pipeline(socket, courses, ["/a", "/b", "/c"]);
+for (const { name, settled, want } of settlements) {
+  test(`pipelined requests get their own responses, in the order of the requests: ${name}`, async (t) => {
+    const { socket, dispatched, received } = await openConnection(t);
+    await pipeline(socket, dispatched, ["/a", "/b", "/c"]);
     for (const [path, out] of settled) {
-      courses.get(path)?.settle(out);
+      dispatched.get(path)?.settle(out);
       await sleep(10);
     }
-    await eventually(() => answers(seen()).length >= want.length);
-    t.deepEqual(answers(seen()), [...want]);
+    await eventually(() => responsesIn(received()).length >= want.length);
+    t.deepEqual(responsesIn(received()), [...want]);
   });
 }
 
-// Story: a farmer's phone asks for three parcels at once and loses its connection. Node tells only
-// of the first answer that its connection is gone, so the other two went on: targets worked for
-// nobody, and their slots were missing elsewhere.
-test("a caller that leaves has left with every request that it pipelined", async (t) => {
-  const { socket, courses } = await open(t);
-  await pipeline(socket, courses, ["/a", "/b", "/c"]);
+// A caller pipelines three requests and loses its connection. Node emits `close` only on the first
+// response, so the other two requests continued and occupied slots although nobody could receive
+// their responses.
+test("a disconnect aborts every request that was pipelined on the connection", async (t) => {
+  const { socket, dispatched } = await openConnection(t);
+  await pipeline(socket, dispatched, ["/a", "/b", "/c"]);
   socket.destroy();
-  const left = () => ["/a", "/b", "/c"].map((path) => courses.get(path)?.req.left.aborted);
-  await eventually(() => left().every((aborted) => aborted));
-  t.deepEqual(left(), [true, true, true]);
+  const aborted = () => ["/a", "/b", "/c"].map((path) => dispatched.get(path)?.req.left.aborted);
+  await eventually(() => aborted().every((isAborted) => isAborted));
+  t.deepEqual(aborted(), [true, true, true]);
 });
 
-// Story: a sidecar is stopped as planned while a phone waits for three parcels on one connection.
-// With the first answer it was told that the connection closes, and the work on the other two was
-// thrown away, though they would have been ready within the grace.
-test("a stop ends a connection with the last of the requests that were pipelined on it", async (t) => {
-  const { server, socket, courses, seen } = await open(t);
-  await pipeline(socket, courses, ["/a", "/b", "/c"]);
+// A sidecar is stopped while a caller waits for three pipelined responses. The first response
+// closed the connection, and the other two were lost although they were ready within the grace
+// period of the stop.
+test("a stop closes a connection only after the response to its last pipelined request", async (t) => {
+  const { server, socket, dispatched, received } = await openConnection(t);
+  await pipeline(socket, dispatched, ["/a", "/b", "/c"]);
   server.beginStop();
   for (const path of ["/a", "/b", "/c"]) {
-    courses.get(path)?.settle(done(path));
+    dispatched.get(path)?.settle(done(path));
     await sleep(20);
   }
   await eventually(() => socket.readableEnded);
-  t.deepEqual(answers(seen()), ["/a", "/b", "/c"]);
-  t.is(seen().match(/connection: close/gi)?.length, 1);
+  t.deepEqual(responsesIn(received()), ["/a", "/b", "/c"]);
+  t.is(received().match(/connection: close/gi)?.length, 1);
   t.true(socket.readableEnded);
 });
 
-// Story: the first answer of three breaks off, and its connection is closed so that it is seen to be
-// incomplete. What was sent behind it counts as not read and will be sent again.
-test("what is pipelined behind an answer that breaks off is given up", async (t) => {
-  const { socket, courses, seen } = await open(t);
-  await pipeline(socket, courses, ["/a", "/b"]);
+// The first of several pipelined responses is truncated, and the connection is closed so that the
+// caller can see it. The caller treats the requests after it as not received and sends them again,
+// so they must not continue here.
+test("a truncated response aborts the requests that were pipelined after it", async (t) => {
+  const { socket, dispatched, received } = await openConnection(t);
+  await pipeline(socket, dispatched, ["/a", "/b"]);
   const body = new PassThrough();
-  courses.get("/a")?.settle({ ...done(""), body, ended: Promise.resolve(AttemptOutcome.Failed) });
+  dispatched
+    .get("/a")
+    ?.settle({ ...done(""), body, ended: Promise.resolve(AttemptOutcome.Failed) });
   body.write("half of");
-  await eventually(() => seen().includes("half of"));
+  await eventually(() => received().includes("half of"));
   body.destroy(new Error("cut short"));
-  await eventually(() => courses.get("/b")?.req.left.aborted === true);
-  t.true(seen().includes("half of"));
-  t.true(courses.get("/b")?.req.left.aborted);
+  await eventually(() => dispatched.get("/b")?.req.left.aborted === true);
+  t.true(received().includes("half of"));
+  t.true(dispatched.get("/b")?.req.left.aborted);
 });
 
 const bodies: readonly {
@@ -178,48 +184,48 @@
   kind: "buffer" | "stream" | "none";
 }[] = [
   {
-    name: "of some hundred KB",
+    name: "of 300 KB",
     head: `content-length: 300000`,
     body: "x".repeat(300_000),
     kind: "buffer",
   },
   {
-    name: "in chunks, of untold length",
+    name: "in chunks, without a declared length",
     head: "transfer-encoding: chunked",
     body: `7d0\r\n${"x".repeat(2000)}\r\n0\r\n\r\n`,
     kind: "buffer",
   },
   {
-    name: "larger than what is held",
+    name: "larger than the buffer limit",
     head: `content-length: ${2 << 20}`,
     body: "x".repeat(2 << 20),
     kind: "stream",
   },
   {
-    name: "in chunks, larger than what is held",
+    name: "in chunks, larger than the buffer limit",
     head: "transfer-encoding: chunked",
     body: `200000\r\n${"x".repeat(0x20_0000)}\r\n0\r\n\r\n`,
     kind: "stream",
   },
-  { name: "left out", head: "content-length: 0", body: "", kind: "none" },
+  { name: "of length 0", head: "content-length: 0", body: "", kind: "none" },
 ];
 
-// Story: a surveyor uploads a field map of 300 KB. The first target asked turns it away for want of
-// room, unrun; the body had been passed on as it came and was gone, so the upload failed though
-// other targets had room.
+// The first target refuses an upload of 300 KB without running it because it is full. The body had
+// been streamed to that target and was lost, so the request failed although other targets had free
+// slots.
 for (const { name, head, body, kind } of bodies) {
-  test(`a body ${name} is ${kind === "buffer" ? "held, to be sent again" : kind === "stream" ? "passed on as it comes" : "none"}`, async (t) => {
-    const { socket, courses, seen } = await open(t);
+  test(`a body ${name} is ${kind === "buffer" ? "buffered, so that it can be sent again" : kind === "stream" ? "streamed" : "absent"}`, async (t) => {
+    const { socket, dispatched, received } = await openConnection(t);
     socket.write(`POST /a HTTP/1.1\r\nhost: a\r\n${head}\r\n\r\n${body}`);
-    await eventually(() => courses.has("/a"));
-    const request = courses.get("/a");
+    await eventually(() => dispatched.has("/a"));
+    const request = dispatched.get("/a");
     const sent = request?.req.body;
     t.is(sent === undefined ? "none" : Buffer.isBuffer(sent) ? "buffer" : "stream", kind);
     const bytes = sent === undefined ? 0 : await byteCount(sent);
     t.is(bytes, body.replace(/^[0-9a-f]+\r\n|\r\n0\r\n\r\n$/g, "").length);
     request?.settle(done("taken"));
-    await eventually(() => answers(seen()).length > 0);
-    t.deepEqual(answers(seen()), ["taken"]);
+    await eventually(() => responsesIn(received()).length > 0);
+    t.deepEqual(responsesIn(received()), ["taken"]);
   });
 }
 
@@ -234,48 +240,48 @@
   return bytes;
 }
 
-test("a body in chunks that is larger than allowed is refused", async (t) => {
-  const { socket, seen } = await open(t, { maxBodyBytes: 1000 });
+test("a chunked body above the size limit is refused", async (t) => {
+  const { socket, received } = await openConnection(t, { maxBodyBytes: 1000 });
   socket.write("POST /a HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\n");
   socket.write(`7d0\r\n${"x".repeat(2000)}\r\n0\r\n\r\n`);
-  await eventually(() => answers(seen()).length > 0);
-  t.deepEqual(answers(seen()), ["413"]);
+  await eventually(() => responsesIn(received()).length > 0);
+  t.deepEqual(responsesIn(received()), ["413"]);
 });
 
 const malformed: readonly { name: string; bytes: string; status: string }[] = [
-  { name: "a head that does not come to its end in time", bytes: "GET /b HT", status: "408" },
-  { name: "bytes that are no request", bytes: "what is this?\r\n\r\n", status: "400" },
+  { name: "a head that is not complete in time", bytes: "GET /b HT", status: "408" },
+  { name: "bytes that are not HTTP", bytes: "what is this?\r\n\r\n", status: "400" },
 ];
 
 for (const { name, bytes, status } of malformed) {
-  test(`a request in progress is not answered for ${name} behind it`, async (t) => {
-    const { server, socket, courses, seen } = await open(t);
-    server.limit(Limits.parse({ headerTimeoutMs: 100 }));
-    await pipeline(socket, courses, ["/a"]);
+  test(`a request in progress does not get the refusal of ${name} after it`, async (t) => {
+    const { server, socket, dispatched, received } = await openConnection(t);
+    server.applyLimits(Limits.parse({ headerTimeoutMs: 100 }));
+    await pipeline(socket, dispatched, ["/a"]);
     socket.write(bytes);
     await sleep(2500);
-    t.is(seen(), "", "nothing is said while it is in progress");
-    courses.get("/a")?.settle(done("first"));
+    t.is(received(), "", "nothing is written while the request is in progress");
+    dispatched.get("/a")?.settle(done("first"));
     await eventually(() => socket.closed);
-    t.deepEqual(answers(seen()), ["first"]);
+    t.deepEqual(responsesIn(received()), ["first"]);
   });
 
-  test(`${name} is refused with ${status} where no request is in progress`, async (t) => {
-    const { server, socket, seen } = await open(t);
-    server.limit(Limits.parse({ headerTimeoutMs: 100 }));
+  test(`${name} gets status ${status} when no request is in progress`, async (t) => {
+    const { server, socket, received } = await openConnection(t);
+    server.applyLimits(Limits.parse({ headerTimeoutMs: 100 }));
     socket.write(bytes);
     await eventually(() => socket.closed);
-    t.deepEqual(answers(seen()), [status]);
+    t.deepEqual(responsesIn(received()), [status]);
   });
 }
 
-test("a request whose body breaks off the protocol ends with its connection, after the answers before it", async (t) => {
-  const { socket, courses, seen } = await open(t);
-  await pipeline(socket, courses, ["/a"]);
+test("a malformed chunked body closes the connection only after the responses to earlier requests", async (t) => {
+  const { socket, dispatched, received } = await openConnection(t);
+  await pipeline(socket, dispatched, ["/a"]);
   socket.write("POST /b HTTP/1.1\r\nhost: a\r\ntransfer-encoding: chunked\r\n\r\nno length\r\n");
   await sleep(100);
-  t.is(seen(), "");
-  courses.get("/a")?.settle(done("first"));
+  t.is(received(), "");
+  dispatched.get("/a")?.settle(done("first"));
   await eventually(() => socket.closed);
-  t.deepEqual(answers(seen()), ["first"]);
+  t.deepEqual(responsesIn(received()), ["first"]);
 });
--- a/src/sidecar/ingress/CallerServer.ts
+++ b/src/sidecar/ingress/CallerServer.ts
@@ -24,42 +24,42 @@
 import { CallerConnections } from "./CallerConnections.ts";
 import { refuseMalformed } from "./refuseMalformed.ts";
 
-/** Headers between sidecars; a caller's own under these names go no further. */
-const HOP_NAMES = new Set<string>(Object.values(HOP));
+/** Names of headers that sidecars exchange; removed from callers' requests. */
+const HOP_HEADERS = new Set<string>(Object.values(HOP));
 
-/** Node's own bound on headers, bytes: above any that the document sets, which is checked here. */
-const HARD_HEADER_BYTES = 256 * 1024;
+/** Node's limit on headers, bytes. It is above any limit that a document sets; that one is checked in this class. */
+const NODE_MAX_HEADER_BYTES = 256 * 1024;
 
-/** How often Node looks for connections that are too slow with their headers, ms. */
-const SLOW_CHECK_MS = 2000;
+/** Interval at which Node checks connections against the header timeout, ms. */
+const CONNECTIONS_CHECK_INTERVAL_MS = 2000;
 
 /**
- * Bodies up to this size are held until the request is answered, so that it can be sent to another
- * target when one refuses it, bytes.
+ * Maximum size of a body that is buffered until its request has a response, bytes. A request with a buffered
+ * body can be sent to another target when one refuses it.
  */
-const HELD_BYTES = 1 << 20;
+const MAX_BUFFERED_BODY_BYTES = 1 << 20;
 
-/** All bodies held at a time, bytes: an eighth of the memory that a sidecar may use. */
-const MAX_HELD_BYTES = 32 << 20;
+/** Maximum size of all buffered bodies together, bytes: an eighth of the memory that a sidecar may use. */
+const MAX_BUFFERED_TOTAL_BYTES = 32 << 20;
 
-/** The document in force, as far as callers are concerned. */
+/** The parts of the document in force that apply to callers' requests. */
 interface CallerConfig {
   readonly version: number;
   readonly routes: RouteIndex;
   readonly limits: Limits;
 }
 
-/** What the caller server reads from the rest of the sidecar. */
+/** Dependencies of the caller server. */
 interface CallerServerDeps {
-  /** Undefined before any document. */
+  /** Returns the current configuration; undefined before the first document. */
   readonly config: () => CallerConfig | undefined;
-  /** Resolves once there is a document, or when it is no use to wait for one any longer. */
+  /** Resolves once there is a document, or when the request should not be held any longer. */
   readonly waitForConfig: () => Promise<void>;
   readonly dispatcher: Pick<Dispatcher, "dispatch">;
   readonly dialect: Dialect;
-  /** Where a request comes from, by the address of its connection. */
+  /** Returns the origin of a request, from the remote address of its connection. */
   readonly originOf: (address: string | undefined) => RequestOrigin;
-  /** The next draw between the parts of a route's split, in [0, 1). */
+  /** Returns the next sample for a route's traffic split, in [0, 1). */
   readonly draw: (route: string) => number;
   readonly metrics: SidecarMetrics;
   readonly tracing: Tracing;
@@ -67,72 +67,71 @@
   readonly log: bunyan;
 }
 
-/** One request, while it is served. */
-interface Served {
+/** A request being served, with the values that its response and its log line are made from. */
+interface RequestContext {
   readonly res: ServerResponse;
   readonly attempt: AttemptId;
   readonly startedAt: number;
   readonly version: number;
   readonly route: RouteMatch | undefined;
-  /** No other request waits for an answer on its connection. */
+  /** Whether no other request on its connection is still without a whole response. */
   readonly isLast: () => boolean;
 }
 
 /**
- * Takes callers' HTTP requests, forwards each through the {@link Dispatcher}
- * and writes back that request's own whole answer, with its verdict in
- * `x-burdockpass-verdict` and its id in `x-burdockpass-attempt`. A request given up on is answered at once with
- * `Retry-After`.
+ * HTTP server for callers. Forwards each request through the {@link Dispatcher} and writes back the
+ * response to that request, with the verdict in `x-burdockpass-verdict` and the request's id in
+ * `x-burdockpass-attempt`. A request that cannot be served gets a refusal with `Retry-After` at once.
  */
 export class CallerServer {
   readonly #deps: CallerServerDeps;
   readonly server: Server;
   readonly #connections = new CallerConnections();
-  #stopping = false;
-  /** Room set aside for bodies that are held. */
-  #heldBytes = 0;
+  #isStopping = false;
+  /** Bytes reserved for buffered bodies. */
+  #bufferedBytes = 0;
 
   constructor(deps: CallerServerDeps) {
     this.#deps = deps;
     this.server = createServer(
       {
-        maxHeaderSize: HARD_HEADER_BYTES,
+        maxHeaderSize: NODE_MAX_HEADER_BYTES,
         requestTimeout: 0,
-        connectionsCheckingInterval: SLOW_CHECK_MS,
+        connectionsCheckingInterval: CONNECTIONS_CHECK_INTERVAL_MS,
       },
       (req, res) => {
         this.#handle(req, res).catch((err: unknown) => {
-          // The caller broke off while sending its body, or a fault of ours: only
-          // this request may suffer, never the process and the others in flight.
-          deps.log.warn({ err, url: req.url }, "request abandoned");
+          // The caller disconnected while sending its body, or the handler has a bug. Only this
+          // request fails; the process and the other requests in flight are not affected.
+          deps.log.warn({ err, url: req.url }, "request aborted");
           res.destroy();
         });
       },
     );
     this.server.on("clientError", (err: NodeJS.ErrnoException, socket: Socket) => {
-      this.#onMalformed(err, socket);
+      this.#onClientError(err, socket);
     });
   }
 
-  /** Puts the document's limits on connections in force. */
-  limit(limits: Limits): void {
+  /** Applies the document's timeouts to callers' connections. */
+  applyLimits(limits: Limits): void {
     this.server.headersTimeout = limits.headerTimeoutMs;
     this.server.keepAliveTimeout = limits.idleTimeoutMs;
   }
 
   /**
-   * From now on answers end their connections, each with the last of the requests that
-   * were pipelined on it: this sidecar is being stopped.
+   * Starts to close callers' connections because this sidecar is being stopped. Each connection is closed with
+   * the response to the last of the requests that were pipelined on it.
    */
   beginStop(): void {
-    this.#stopping = true;
+    this.#isStopping = true;
   }
 
   /**
-   * Refuses what is no request. Behind a request in progress, Node would write that refusal as the answer to it: a 408
-   * for work that is running.
+   * Refuses malformed or late input. While an earlier request on the connection is in progress, nothing is written: the
+   * caller would take the refusal for the response to that request, as in a 408 for a request that is running.
    */
-  #onMalformed(err: NodeJS.ErrnoException, socket: Socket): void {
+  #onClientError(err: NodeJS.ErrnoException, socket: Socket): void {
     if (this.#connections.hasPendingRequest(socket)) {
       this.#connections.closeAfterResponses(socket);
     } else if (this.#connections.hasStartedResponse(socket)) {
@@ -144,13 +143,13 @@
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const startedAt = this.#deps.clock.now();
-    const { disconnected: left, isLast } = this.#connections.track(res);
+    const { disconnected, isLast } = this.#connections.track(res);
     if (!this.#deps.config()) {
       await this.#deps.waitForConfig();
     }
     const config = this.#deps.config();
-    const words = this.#deps.dialect.readCaller(req.headers);
-    const attempt = typeof words === "string" ? AttemptId("") : words.attempt;
+    const metadata = this.#deps.dialect.readCaller(req.headers);
+    const attempt = typeof metadata === "string" ? AttemptId("") : metadata.attempt;
     const route = config?.routes.match(
       req.method ?? "GET",
       req.url ?? "/",
@@ -158,111 +157,112 @@
       this.#deps.draw,
     );
     const version = config?.version ?? 0;
-    const served: Served = { res, attempt, startedAt, version, route, isLast };
-    if (typeof words === "string") {
-      this.#refuse(served, words, 400);
+    const ctx: RequestContext = { res, attempt, startedAt, version, route, isLast };
+    if (typeof metadata === "string") {
+      this.#refuse(ctx, metadata, 400);
       return;
     }
     if (!config || !route) {
       const [reason, status] = config ? NO_ROUTE : NO_CONFIG;
-      this.#refuse(served, reason, status);
+      this.#refuse(ctx, reason, status);
       return;
     }
-    if (headerBytes(req) > config.limits.maxHeaderBytes) {
-      this.#refuse(served, "headers too large", 431);
+    if (requestHeadBytes(req) > config.limits.maxHeaderBytes) {
+      this.#refuse(ctx, "headers too large", 431);
       return;
     }
-    const timeoutMs = Math.min(route.timeoutMs, words.remainingMs ?? Infinity);
-    const due = { startedAt, deadlineAt: startedAt + timeoutMs, left };
-    const room = this.#takeRoom(req);
+    const timeoutMs = Math.min(route.timeoutMs, metadata.remainingMs ?? Infinity);
+    const timing = { startedAt, deadlineAt: startedAt + timeoutMs, left: disconnected };
+    const bufferBytes = this.#reserveBuffer(req);
     try {
-      const bounds = { mostBytes: config.limits.maxBodyBytes, wholeBytes: room };
-      await this.#forward(served, route, await openBody(req, bounds), due);
+      const bounds = { mostBytes: config.limits.maxBodyBytes, wholeBytes: bufferBytes };
+      await this.#forward(ctx, route, await openBody(req, bounds), timing);
     } finally {
-      this.#heldBytes -= room;
+      this.#bufferedBytes -= bufferBytes;
     }
   }
 
-  /** Has a request served, and its answer or refusal written. */
+  /** Dispatches a request and writes its response or refusal. */
   async #forward(
-    served: Served,
+    ctx: RequestContext,
     route: RouteMatch,
     opened: Awaited<ReturnType<typeof openBody>>,
-    due: Pick<CallerRequest, "startedAt" | "deadlineAt" | "left">,
+    timing: Pick<CallerRequest, "startedAt" | "deadlineAt" | "left">,
   ): Promise<void> {
     if (opened.kind === "too-large") {
-      this.#refuse(served, "request body too large", 413);
+      this.#refuse(ctx, "request body too large", 413);
       return;
     }
-    const { req } = served.res;
+    const { req } = ctx.res;
     const span = this.#deps.tracing.begin("sidecar.ingress", req.headers);
-    const forward = span.child("sidecar.forward");
-    const headers = endToEnd(req.rawHeaders, (name) => HOP_NAMES.has(name));
-    const out = await this.#deps.dispatcher.dispatch(route, {
-      attempt: served.attempt,
+    const forwardSpan = span.child("sidecar.forward");
+    const headers = endToEnd(req.rawHeaders, (name) => HOP_HEADERS.has(name));
+    const result = await this.#deps.dispatcher.dispatch(route, {
+      attempt: ctx.attempt,
       method: req.method ?? "GET",
       path: req.url ?? "/",
-      headers: withHeaders(headers, forward.headers),
+      headers: withHeaders(headers, forwardSpan.headers),
       body: opened.body,
       origin: this.#deps.originOf(req.socket.remoteAddress),
       bodyLength: opened.kind === "stream" ? opened.length : undefined,
-      ...due,
+      ...timing,
     });
-    const isGood = out.verdict.kind === "done";
-    forward.end(out.verdict.kind, isGood);
-    this.#reply(served, out, statusFor(out.verdict));
-    span.end(out.verdict.kind, isGood);
+    const isDone = result.verdict.kind === "done";
+    forwardSpan.end(result.verdict.kind, isDone);
+    this.#respond(ctx, result, statusFor(result.verdict));
+    span.end(result.verdict.kind, isDone);
   }
 
-  /** Sets room aside to hold a request's body in, as far as there is any; returns how much, bytes. */
-  #takeRoom({ headers }: IncomingMessage): number {
+  /** Reserves buffer space for a request's body; returns its size in bytes, or 0 if the body does not fit. */
+  #reserveBuffer({ headers }: IncomingMessage): number {
     const isChunked = headers["transfer-encoding"] !== undefined;
-    const length = isChunked ? HELD_BYTES : Number(headers["content-length"] ?? 0);
-    const isHeld = length <= HELD_BYTES && this.#heldBytes + length <= MAX_HELD_BYTES;
-    const room = isHeld ? length : 0;
-    this.#heldBytes += room;
-    return room;
+    const length = isChunked ? MAX_BUFFERED_BODY_BYTES : Number(headers["content-length"] ?? 0);
+    const fitsBuffer =
+      length <= MAX_BUFFERED_BODY_BYTES && this.#bufferedBytes + length <= MAX_BUFFERED_TOTAL_BYTES;
+    const bytes = fitsBuffer ? length : 0;
+    this.#bufferedBytes += bytes;
+    return bytes;
   }
 
-  #refuse(served: Served, reason: string, status: number): void {
+  #refuse(ctx: RequestContext, reason: string, status: number): void {
     const verdict = { kind: "not-run", reason, retryAfterMs: RETRY_AFTER_MS } as const;
-    this.#reply(served, { verdict, outcome: AttemptOutcome.Cancelled }, status);
+    this.#respond(ctx, { verdict, outcome: AttemptOutcome.Cancelled }, status);
   }
 
-  #reply(served: Served, out: ForwardResult, status: number): void {
-    this.#note(served, out);
-    const { res } = served;
+  #respond(ctx: RequestContext, result: ForwardResult, status: number): void {
+    this.#logResponse(ctx, result);
+    const { res } = ctx;
     if (res.destroyed) {
-      return; // The caller has left.
+      return; // The caller has disconnected.
     }
-    res.setHeader("x-burdockpass-verdict", out.verdict.kind);
-    // By this id the logs of every process tell of the request.
-    res.setHeader("x-burdockpass-attempt", served.attempt);
-    if (this.#stopping && served.isLast()) {
+    res.setHeader("x-burdockpass-verdict", result.verdict.kind);
+    // The log lines of all processes about this request contain this id.
+    res.setHeader("x-burdockpass-attempt", ctx.attempt);
+    if (this.#isStopping && ctx.isLast()) {
       res.setHeader("connection", "close");
     }
-    if ("body" in out) {
-      res.statusCode = out.verdict.status;
-      this.#writeAnswer(served, out);
+    if ("body" in result) {
+      res.statusCode = result.verdict.status;
+      this.#writeResponse(ctx, result);
       return;
     }
-    const { retryAfterMs, ...said } = out.verdict;
+    const { retryAfterMs, ...details } = result.verdict;
     res.statusCode = status;
     if (!FINAL_REFUSALS.has(status)) {
       res.setHeader("retry-after", this.#deps.dialect.writeRetryAfter(retryAfterMs));
     }
     res.setHeader("content-type", "application/json");
-    const body = { ...said, verdict: said.kind, retryAfterS: retryAfterMs / 1000 };
+    const body = { ...details, verdict: details.kind, retryAfterS: retryAfterMs / 1000 };
     res.end(JSON.stringify(body));
   }
 
-  #writeAnswer(
-    { res, attempt }: Served,
-    out: Extract<ForwardResult, { body: Buffer | Readable }>,
+  #writeResponse(
+    { res, attempt }: RequestContext,
+    result: Extract<ForwardResult, { body: Buffer | Readable }>,
   ): void {
-    const { headers, body } = out;
+    const { headers, body } = result;
     for (const [name, value] of Object.entries(headers)) {
-      if (value !== undefined && !isFraming(name)) {
+      if (value !== undefined && !isHopByHop(name)) {
         res.setHeader(name, value);
       }
     }
@@ -276,27 +276,30 @@
     if (declared !== undefined) {
       res.setHeader("content-length", declared);
     }
-    // On a body cut short by the target, pipeline destroys the caller's
-    // connection too: its answer is then visibly incomplete, never passed off as whole.
+    // When the target truncates the body, pipeline also destroys the caller's connection, so
+    // that the caller can see that the response is incomplete.
     pipeline(body, res, (err) => {
       if (err) {
-        this.#deps.log.warn({ attempt, err: err.message }, "answer cut short");
+        this.#deps.log.warn({ attempt, err: err.message }, "response truncated");
       }
     });
   }
 
-  #note({ attempt, startedAt, version, route }: Served, out: ForwardResult): void {
+  #logResponse(
+    { attempt, startedAt, version, route }: RequestContext,
+    result: ForwardResult,
+  ): void {
     const ms = this.#deps.clock.now() - startedAt;
-    const { verdict } = out;
+    const { verdict } = result;
     const service = route?.service.name ?? "";
     this.#deps.metrics.observe(service, verdict.kind, ms);
     const { name, objectiveMs } = route ?? {};
-    const decided = { attempt, route: name, service, objectiveMs, configVersion: version, verdict };
-    this.#deps.log.info({ ...decided, ms: Math.round(ms) }, "request answered");
+    const fields = { attempt, route: name, service, objectiveMs, configVersion: version, verdict };
+    this.#deps.log.info({ ...fields, ms: Math.round(ms) }, "request answered");
   }
 }
 
-/** Refusals that the same request will meet again. */
+/** Statuses of refusals that the same request would get again, so that they carry no `Retry-After`. */
 const FINAL_REFUSALS = new Set([400, 404, 413, 422, 431]);
 
 const NO_ROUTE = ["no route", 404] as const;
@@ -315,12 +318,12 @@
   }
 }
 
-/** Bytes of a request's line and headers, as they came. */
-function headerBytes(req: IncomingMessage): number {
+/** Size of a request's line and headers as received, bytes. */
+function requestHeadBytes(req: IncomingMessage): number {
   const perHeader = req.rawHeaders.reduce((sum, part) => sum + part.length + 2, 0);
   return (req.method?.length ?? 0) + (req.url?.length ?? 0) + perHeader;
 }
 
-function isFraming(name: string): boolean {
+function isHopByHop(name: string): boolean {
   return endToEnd([name, ""]).length === 0;
 }
