--- a/src/sidecar/ingress/originOf.test.ts
+++ b/src/sidecar/ingress/originOf.test.ts
@@ -10,28 +10,33 @@
   targets: readonly string[];
   want: RequestOrigin;
 }[] = [
-  { name: "its target", address: "10.1.0.41", targets: [TARGET], want: RequestOrigin.TargetVm },
   {
-    name: "its target, on a socket for both kinds of address",
+    name: "the local target",
+    address: "10.1.0.41",
+    targets: [TARGET],
+    want: RequestOrigin.TargetVm,
+  },
+  {
+    name: "the local target, as an IPv4-mapped address of a dual-stack socket",
     address: "::ffff:10.1.0.41",
     targets: [TARGET],
     want: RequestOrigin.TargetVm,
   },
   {
-    name: "its target at an IPv6 address",
+    name: "the local target at an IPv6 address",
     address: "fd00::9",
     targets: ["http://[fd00::9]:80"],
     want: RequestOrigin.TargetVm,
   },
   { name: "a caller", address: "10.9.0.7", targets: [TARGET], want: RequestOrigin.Elsewhere },
   {
-    name: "loopback, which both may share",
+    name: "a loopback address, which callers and targets may share",
     address: "127.0.0.1",
     targets: ["http://127.0.0.1:9001"],
     want: RequestOrigin.Unknown,
   },
   {
-    name: "somebody, with no target here",
+    name: "any address when there is no local target",
     address: "10.9.0.7",
     targets: [],
     want: RequestOrigin.Unknown,
--- a/src/sidecar/ingress/originOf.ts
+++ b/src/sidecar/ingress/originOf.ts
@@ -1,30 +1,33 @@
 import { isIP } from "node:net";
 import { RequestOrigin } from "../routing/RequestOrigin.ts";
 
-/** How Node writes an IPv4 address on a socket that also takes IPv6. */
-const MAPPED_PREFIX = "::ffff:";
+/** Prefix of an IPv4-mapped IPv6 address: Node's form of an IPv4 address on a dual-stack socket. */
+const IPV4_MAPPED_PREFIX = "::ffff:";
 
 const LOOPBACK = /^(127\.|::1$)/;
 
 /**
- * Where a request comes from.
+ * Returns the origin of a request. Loopback addresses are no evidence, since callers and targets may share them.
  *
- * @param address of the other end of its connection; undefined once that is closed
- * @param targetUrls base URLs of the targets beside this sidecar
+ * @param address remote address of the request's connection; undefined once the connection is closed
+ * @param targetUrls base URLs of the local targets
  */
 export function originOf(
   address: string | undefined,
   targetUrls: readonly string[],
 ): RequestOrigin {
-  const from = plain(address ?? "");
-  if (isIP(from) === 0 || LOOPBACK.test(from) || targetUrls.length === 0) {
+  const remote = canonicalAddress(address ?? "");
+  if (isIP(remote) === 0 || LOOPBACK.test(remote) || targetUrls.length === 0) {
     return RequestOrigin.Unknown;
   }
-  const isTarget = targetUrls.some((url) => plain(new URL(url).hostname) === from);
+  const isTarget = targetUrls.some((url) => canonicalAddress(new URL(url).hostname) === remote);
   return isTarget ? RequestOrigin.TargetVm : RequestOrigin.Elsewhere;
 }
 
-function plain(address: string): string {
-  const bare = address.replace(/^\[|\]$/g, "");
-  return bare.startsWith(MAPPED_PREFIX) ? bare.slice(MAPPED_PREFIX.length) : bare;
+/** Removes the brackets of an IPv6 host and the prefix of an IPv4-mapped address. */
+function canonicalAddress(address: string): string {
+  const unbracketed = address.replace(/^\[|\]$/g, "");
+  return unbracketed.startsWith(IPV4_MAPPED_PREFIX)
+    ? unbracketed.slice(IPV4_MAPPED_PREFIX.length)
+    : unbracketed;
 }
--- a/src/sidecar/ingress/refuseMalformed.ts
+++ b/src/sidecar/ingress/refuseMalformed.ts
@@ -1,8 +1,8 @@
 import { STATUS_CODES } from "node:http";
 import type { Socket } from "node:net";
 
-/** Statuses by what Node's HTTP parser or its timeouts found; any other fault is a bad request. */
-const STATUSES: Readonly<Record<string, number>> = {
+/** Response statuses by the error code of Node's HTTP parser or timeouts; all other errors get {@link BAD_REQUEST}. */
+const STATUS_BY_ERROR_CODE: Readonly<Record<string, number>> = {
   ERR_HTTP_REQUEST_TIMEOUT: 408,
   HPE_CHUNK_EXTENSIONS_OVERFLOW: 413,
   HPE_HEADER_OVERFLOW: 431,
@@ -10,13 +10,13 @@
 
 const BAD_REQUEST = 400;
 
-/** Answers bytes that are no request, or a head that did not come in time, and ends the connection. */
+/** Sends an error response to malformed HTTP, or to a request head that did not arrive in time, and closes the connection. */
 export function refuseMalformed(err: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) {
     socket.destroy();
     return;
   }
-  const status = STATUSES[err.code ?? ""] ?? BAD_REQUEST;
+  const status = STATUS_BY_ERROR_CODE[err.code ?? ""] ?? BAD_REQUEST;
   socket.write(`HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\nConnection: close\r\n\r\n`);
   socket.destroySoon();
 }
