--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -136,7 +136,7 @@
     const cfg = this.#cfg;
     const metrics = new SidecarMetrics();
     const note: NoteBytes = (method, bytes) => {
-      metrics.controlBytes(TRAFFIC_KINDS[method] ?? "other", bytes);
+      metrics.countControlBytes(TRAFFIC_KINDS[method] ?? "other", bytes);
     };
     const tracing = await openTracing("burdockpass-sidecar", cfg.traceFile);
     const table = this.#openTable();
@@ -352,10 +352,10 @@
       callerService: this.#cfg.callerService,
       isStarting: () => SystemClock.now() - this.#startedAt < STARTING_MS,
       onExtraTry: (service, cause) => {
-        metrics.extraTry(service, cause);
+        metrics.countExtraRun(service, cause);
       },
       onDenied: (service) => {
-        metrics.retryDenied(service);
+        metrics.countDeniedRetry(service);
       },
       clock: SystemClock,
       log: this.#log,
--- a/src/sidecar/TargetSide.ts
+++ b/src/sidecar/TargetSide.ts
@@ -218,7 +218,7 @@
       clock,
       log: log.child({ target: target.id, service: target.service }),
       onChange: (isEjected) => {
-        metrics.judged(target.service, isEjected);
+        metrics.countHealthChange(target.service, isEjected);
       },
     });
   }
--- a/src/sidecar/admin/SidecarMetrics.test.ts
+++ b/src/sidecar/admin/SidecarMetrics.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { SidecarMetrics } from "./SidecarMetrics.ts";
 
-test("sidecar metrics: what was counted is what is served", async (t) => {
+test("sidecar metrics: every recorded value appears in the served text", async (t) => {
   const metrics = new SidecarMetrics();
   metrics.watchConfig(
     () => ({ version: 7, inForceSince: 1000 }),
@@ -9,12 +9,12 @@
   );
   metrics.refused("full");
   metrics.waited(300);
-  metrics.judged("results", true);
-  metrics.extraTry("results", "hedge");
-  metrics.retryDenied("results");
+  metrics.countHealthChange("results", true);
+  metrics.countExtraRun("results", "hedge");
+  metrics.countDeniedRetry("results");
   const figures = { firstTries: 20, extras: 3, allowed: 5.5 };
   metrics.watchBudgets(() => [{ service: "results", figures }]);
-  metrics.observe("results", "done", 20);
+  metrics.observeRequest("results", "done", 20);
   const text = await metrics.registry.metrics();
   for (const line of [
     "burdockpass_config_version 7",
--- a/src/sidecar/admin/SidecarMetrics.ts
+++ b/src/sidecar/admin/SidecarMetrics.ts
@@ -1,19 +1,19 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { TrafficKind } from "./TrafficKind.ts";
 
-/** Buckets for added latency, seconds: fine below 2 ms, where the users' budget is. */
+/** Buckets for request durations, seconds: fine below 2 ms, which is the users' limit for the latency that a sidecar adds. */
 const LATENCY_BUCKETS = [
   0.0005, 0.001, 0.0017, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1, 2.5,
 ];
 
-/** Buckets for the wait in a line, seconds: from none to the longest deadline. */
-const WAIT_BUCKETS = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10];
+/** Buckets for the wait in an admission queue, seconds: from almost none to the longest deadline. */
+const QUEUE_WAIT_BUCKETS = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10];
 
-/** What a dispatcher sends beside requests' first tries. */
-type ExtraTry = "retry" | "hedge";
+/** Why a dispatcher sends a request to a further target. */
+type ExtraRunCause = "retry" | "hedge";
 
-/** A retry budget as the metrics show it. */
-interface ShownBudget {
+/** Usage of a service's retry budget. The names of the figures are label values of the metric. */
+interface BudgetUsage {
   readonly service: string;
   readonly figures: {
     readonly firstTries: number;
@@ -22,14 +22,14 @@
   };
 }
 
-/** The document in force, as the metrics show it. */
+/** The document in force, as far as the metrics report it. */
 interface ConfigInForce {
   readonly version: number;
-  /** Since when, by the steady clock, ms; undefined before any. */
+  /** Time when it came into force on the monotonic clock, ms; undefined before the first document. */
   readonly inForceSince: number | undefined;
 }
 
-/** The sidecar's prom-client metrics, in a registry of its own. */
+/** The sidecar's prom-client metrics, in a separate registry. */
 export class SidecarMetrics {
   readonly registry = new Registry();
   readonly #requests: Counter;
@@ -38,12 +38,12 @@
   readonly #refusals: Counter;
   readonly #queueWait: Histogram;
   readonly #ejections: Counter;
-  readonly #extraTries: Counter;
+  readonly #extraRuns: Counter;
   readonly #retriesDenied: Counter;
 
   constructor() {
-    // Not prom-client's default metrics: their event loop monitor wakes the process
-    // 100 times a second, most of the 8% of a core that an idle sidecar cost.
+    // prom-client's default metrics are not collected. Their event loop monitor wakes the process
+    // 100 times a second, which was most of the 8% of a core that an idle sidecar used.
     this.#requests = new Counter({
       name: "burdockpass_requests_total",
       help: "Callers' requests answered, by service and verdict.",
@@ -72,7 +72,7 @@
     this.#queueWait = new Histogram({
       name: "burdockpass_slot_wait_seconds",
       help: "Time that granted asks had waited for a slot at the target beside this sidecar.",
-      buckets: WAIT_BUCKETS,
+      buckets: QUEUE_WAIT_BUCKETS,
       registers: [this.registry],
     });
     this.#ejections = new Counter({
@@ -81,7 +81,7 @@
       labelNames: ["service", "change"],
       registers: [this.registry],
     });
-    this.#extraTries = new Counter({
+    this.#extraRuns = new Counter({
       name: "burdockpass_extra_tries_total",
       help: "Requests sent to a further target, by service and cause; the retry budget bounds them.",
       labelNames: ["service", "cause"],
@@ -95,7 +95,7 @@
     });
   }
 
-  /** Shows the document in force; `now` is the steady clock. */
+  /** Adds gauges of the document in force, which `read` returns; `now` is the monotonic clock, ms. */
   watchConfig(read: () => ConfigInForce, now: () => number): void {
     new Gauge({
       name: "burdockpass_config_version",
@@ -116,23 +116,23 @@
     });
   }
 
-  /** Counts a refused ask for a slot. */
+  /** Counts a refused slot request. */
   refused(reason: string): void {
     this.#refusals.inc({ reason });
   }
 
-  /** Notes how long a granted ask had waited, ms. */
+  /** Records how long a granted slot request waited in the admission queue, ms. */
   waited(ms: number): void {
     this.#queueWait.observe(ms / 1000);
   }
 
-  /** Counts a change in what is thought of a target beside this sidecar. */
-  judged(service: string, isEjected: boolean): void {
+  /** Counts an ejection or a readmission of a local target. */
+  countHealthChange(service: string, isEjected: boolean): void {
     this.#ejections.inc({ service, change: isEjected ? "ejected" : "readmitted" });
   }
 
-  /** Shows this sidecar's parts of the retry budgets: what is counted in the window that ends now. */
-  watchBudgets(read: () => readonly ShownBudget[]): void {
+  /** Adds a gauge of this sidecar's shares of the retry budgets, with the usage in the window that ends now. */
+  watchBudgets(read: () => readonly BudgetUsage[]): void {
     new Gauge({
       name: "burdockpass_retry_budget",
       help: "This sidecar's part of a service's retry budget, in its window: first tries, extra ones, extra ones allowed.",
@@ -148,23 +148,23 @@
     });
   }
 
-  /** Counts a request sent to a further target. */
-  extraTry(service: string, cause: ExtraTry): void {
-    this.#extraTries.inc({ service, cause });
+  /** Counts a retry or hedge, which sends a request to a further target. */
+  countExtraRun(service: string, cause: ExtraRunCause): void {
+    this.#extraRuns.inc({ service, cause });
   }
 
-  /** Counts a request that was not sent to a further target for want of room in the budget. */
-  retryDenied(service: string): void {
+  /** Counts a retry or hedge that was not sent because the service's retry budget was used up. */
+  countDeniedRetry(service: string): void {
     this.#retriesDenied.inc({ service });
   }
 
-  /** Counts bytes of our own protocol, sent or received. */
-  controlBytes(kind: TrafficKind, bytes: number): void {
+  /** Counts bytes of messages between burdockpass processes, sent or received. */
+  countControlBytes(kind: TrafficKind, bytes: number): void {
     this.#controlBytes.inc({ kind }, bytes);
   }
 
-  /** Counts one answered request; `ms` is its time in the sidecar. */
-  observe(service: string, verdict: string, ms: number): void {
+  /** Counts a caller's request that has its verdict; `ms` is the time from its arrival until then. */
+  observeRequest(service: string, verdict: string, ms: number): void {
     this.#requests.inc({ service, verdict });
     this.#duration.observe({ service }, ms / 1000);
   }
--- a/src/sidecar/ingress/CallerServer.ts
+++ b/src/sidecar/ingress/CallerServer.ts
@@ -143,7 +143,7 @@
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const startedAt = this.#deps.clock.now();
-    const { disconnected, isLast } = this.#connections.track(res);
+    const { disconnected: left, isLast } = this.#connections.track(res);
     if (!this.#deps.config()) {
       await this.#deps.waitForConfig();
     }
@@ -172,7 +172,7 @@
       return;
     }
     const timeoutMs = Math.min(route.timeoutMs, metadata.remainingMs ?? Infinity);
-    const timing = { startedAt, deadlineAt: startedAt + timeoutMs, left: disconnected };
+    const timing = { startedAt, deadlineAt: startedAt + timeoutMs, left };
     const bufferBytes = this.#reserveBuffer(req);
     try {
       const bounds = { mostBytes: config.limits.maxBodyBytes, wholeBytes: bufferBytes };
@@ -292,7 +292,7 @@
     const ms = this.#deps.clock.now() - startedAt;
     const { verdict } = result;
     const service = route?.service.name ?? "";
-    this.#deps.metrics.observe(service, verdict.kind, ms);
+    this.#deps.metrics.observeRequest(service, verdict.kind, ms);
     const { name, objectiveMs } = route ?? {};
     const fields = { attempt, route: name, service, objectiveMs, configVersion: version, verdict };
     this.#deps.log.info({ ...fields, ms: Math.round(ms) }, "request answered");
