--- a/src/sidecar/TargetAnnouncements.ts
+++ b/src/sidecar/TargetAnnouncements.ts
@@ -1,17 +1,17 @@
 import type { TargetId } from "../common/ids/TargetId.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 
-/** What targets beside this sidecar tell it, whatever way they speak. */
+/** Receives the announcements and withdrawals of local targets, whichever API they use. */
 export interface TargetAnnouncements {
   /**
-   * Records an announcement; `sequence` rises with each of those that one life of the
-   * target makes. Undefined, or why it names no target that can be used.
+   * Records an announcement; `sequence` rises with each announcement of one incarnation of the
+   * target. Returns undefined, or the reason why the target cannot be used.
    */
   announce(target: ProtoTypes["Target"], sequence: number): string | undefined;
   /**
-   * Records that a target has said goodbye: it gets no new work from here on.
+   * Records that a target has withdrawn: it gets no new requests from now on.
    *
-   * @param born the life that says so, as in its announcements; 0 where it does not tell
+   * @param born start time of the incarnation that withdraws, as in its announcements; 0 if not given
    */
   withdraw(target: TargetId, born: number): void;
 }
--- a/src/sidecar/admin/AdminServer.ts
+++ b/src/sidecar/admin/AdminServer.ts
@@ -9,7 +9,7 @@
 import type { TargetAnnouncements } from "../TargetAnnouncements.ts";
 import type { SidecarMetrics } from "./SidecarMetrics.ts";
 
-/** The body a target posts to `/v1/announce`. */
+/** Body of `POST /v1/announce`. */
 const Announcement = z.strictObject({
   targetId: z.string().min(1),
   service: z.string().min(1),
@@ -18,35 +18,34 @@
   state: z.enum(TargetState),
   /** Path of the health endpoint at `url`; empty for none. */
   healthPath: z.string().default(""),
-  /** Rises with each announcement, so that a late one can be told; left out, none is taken for late. */
+  /** Rises with each announcement, so that a delayed one can be detected. A target that leaves it out has no such check. */
   sequence: z.number().int().min(0).default(0),
-  /** When the target started, Unix ms, so that it can be told from the one that had its id before; left out, it cannot. */
+  /** Start time of the target, Unix ms. Without it, incarnations of a target cannot be told apart. */
   born: z.number().int().min(0).default(0),
 });
 
-/** The body a target posts to `/v1/withdraw`. */
+/** Body of `POST /v1/withdraw`. */
 const Withdrawal = z.strictObject({
   targetId: z.string().min(1),
   born: z.number().int().min(0).default(0),
 });
 
-/** Announcements are a few hundred bytes. */
+/** Maximum size of a request body, bytes; announcements have a few hundred. */
 const MAX_BODY_BYTES = 16 * 1024;
 
 interface AdminServerDeps {
   readonly announcements: TargetAnnouncements;
   readonly metrics: SidecarMetrics;
   readonly status: () => Record<string, unknown>;
-  /** Callers may be sent here. */
+  /** Whether callers may be routed to this sidecar. */
   readonly isReady: () => boolean;
   readonly log: bunyan;
 }
 
 /**
- * The sidecar's local HTTP face: targets beside it announce themselves
- * (`POST /v1/announce`, repeated as a heartbeat) and say goodbye
- * (`POST /v1/withdraw`), Prometheus scrapes `/metrics`, load balancers ask `/ready`,
- * and the CLI reads `/status`.
+ * The sidecar's admin HTTP server. Local targets announce themselves (`POST /v1/announce`, repeated as
+ * a heartbeat) and withdraw before they exit (`POST /v1/withdraw`), Prometheus scrapes `/metrics`, load
+ * balancers check `/ready`, and the CLI reads `/status`.
  */
 export class AdminServer {
   readonly #deps: AdminServerDeps;
