--- a/src/sidecar/drainSidecar.ts
+++ b/src/sidecar/drainSidecar.ts
@@ -2,42 +2,45 @@
 import type { Clock } from "../common/lifecycle/Clock.ts";
 
 /**
- * Requests that still stand in line this long before the end of a stop's grace are refused, ms: a
- * slot that came free later would leave them no time to run, and the refusal has to get there.
+ * Time before the end of a stop's grace period at which requests without a slot are refused, ms. A slot that
+ * becomes free later would leave them no time to run, and the refusal needs time to reach the caller.
  */
-const LINE_ENDS_MS = 800;
+const QUEUE_REFUSAL_MS = 800;
 
-/** The last part of a stop, for telling the other members, ms: they look for other targets then, as this one is silent. */
-const LEAVE_MS = 200;
+/**
+ * Time at the end of a stop for notifying the other members, ms. They choose other targets once they know that
+ * this sidecar no longer replies.
+ */
+const LEAVE_TIMEOUT_MS = 200;
 
-/** How often a stop looks whether the last run has ended, ms. */
-const IDLE_CHECK_MS = 50;
+/** Interval at which a stop checks whether the last run has ended, ms. */
+const IDLE_CHECK_INTERVAL_MS = 50;
 
-/** The parts of a sidecar that its stop goes through. */
+/** The parts of a sidecar that are stopped one after another. */
 export interface DrainedParts {
-  /** From here on, answers to callers end their connections, and other members know of the stop. */
+  /** Makes responses close callers' connections from now on, and notifies the other members of the stop. */
   readonly beginStop: () => void;
-  /** Takes no new connections from callers; resolves once the requests of all have been answered. */
+  /** Stops accepting callers' connections; resolves once all pending requests have a response. */
   readonly closeCallers: () => Promise<void>;
   /** Refuses the callers' requests that have no slot yet. */
   readonly refuseWaiting: () => void;
-  /** The gates to the targets beside this sidecar. */
+  /** The gates of the local targets. */
   readonly gates: { closeBy(endAt: number): void; close(): void; readonly isBusy: boolean };
-  /** Tells the other members that this one is gone. */
+  /** Notifies the other members that this one has left. */
   readonly leave: () => Promise<void>;
 }
 
-/** How long a stop may take. */
+/** Durations of a stop. */
 interface StopTimes {
-  /** Callers are served on for this long, ms: whoever sends them here has to notice first. */
+  /** Time for which callers' new connections are still accepted, ms: load balancers need it to notice the stop. */
   readonly callersMs: number;
-  /** All is to be over by then, ms from now. */
+  /** Time until the whole stop has to be over, ms from now. */
   readonly endsInMs: number;
 }
 
 /**
- * A planned stop of a sidecar, up to the point at which nothing is left that anyone waits for. What is needed
- * longest is closed last: the process lives on for its callers, and so long its target works on too.
+ * Stops a sidecar in an orderly way, until no caller and no other sidecar waits for it any more. The gates are
+ * closed last: while the process still serves its callers, its target can continue to run requests.
  */
 export async function drainSidecar(
   parts: DrainedParts,
@@ -47,18 +50,21 @@
 ): Promise<void> {
   const sleep = (ms: number) =>
     new Promise<void>((resolve) => clock.after(Math.max(0, ms), resolve));
-  const endAt = clock.now() + endsInMs - LEAVE_MS;
+  const endAt = clock.now() + endsInMs - LEAVE_TIMEOUT_MS;
   parts.beginStop();
   parts.gates.closeBy(endAt);
   await sleep(callersMs);
-  log.info({ busy: parts.gates.isBusy, leftMs: endAt - clock.now() }, "drain: no new callers");
-  const lineEnds = clock.after(endAt - LINE_ENDS_MS - clock.now(), parts.refuseWaiting);
+  log.info(
+    { busy: parts.gates.isBusy, leftMs: endAt - clock.now() },
+    "drain: no longer accepting callers",
+  );
+  const refusalTimer = clock.after(endAt - QUEUE_REFUSAL_MS - clock.now(), parts.refuseWaiting);
   await Promise.race([parts.closeCallers(), sleep(endAt - clock.now())]);
-  lineEnds.cancel();
+  refusalTimer.cancel();
   parts.gates.close();
   while (parts.gates.isBusy && clock.now() < endAt) {
-    await sleep(IDLE_CHECK_MS);
+    await sleep(IDLE_CHECK_INTERVAL_MS);
   }
-  await Promise.race([parts.leave(), sleep(LEAVE_MS)]);
-  log.info({ busy: parts.gates.isBusy, leftMs: endAt - clock.now() }, "drained");
+  await Promise.race([parts.leave(), sleep(LEAVE_TIMEOUT_MS)]);
+  log.info({ busy: parts.gates.isBusy, leftMs: endAt - clock.now() }, "drain finished");
 }
