--- a/src/sidecar/TargetSide.ts
+++ b/src/sidecar/TargetSide.ts
@@ -42,16 +42,16 @@
 import { SyncedJournal } from "./records/SyncedJournal.ts";
 import type { TargetAnnouncements } from "./TargetAnnouncements.ts";
 
-/** The journal of run records, under the data folder. */
+/** File name of the journal of run records in the data folder. */
 const RECORDS_FILE = "run-records.jsonl";
 
-/** How often records past their retention are dropped, ms. */
-const EXPIRE_MS = 60_000;
+/** Interval at which records past their retention time are removed, ms. */
+const EXPIRY_INTERVAL_MS = 60_000;
 
-/** Length of the name of a life of this process: two lives of one sidecar must not have the same. */
-const BOOT_BYTES = 6;
+/** Size of the random boot id of this process, bytes. Two incarnations of a sidecar must not have the same id. */
+const BOOT_ID_BYTES = 6;
 
-/** Rules for a service that the document does not name (any more). */
+/** Rules for a service that the document does not contain, or no longer contains. */
 const DEFAULT_SERVICE = Service.parse({ name: "default" });
 
 interface TargetSideDeps {
@@ -63,35 +63,35 @@
   readonly dialect: Dialect;
   readonly tracing: Tracing;
   readonly metrics: SidecarMetrics;
-  /** Sends a message that may be lost. */
+  /** Sends a datagram, which may be lost. */
   readonly tell: (address: string, message: ProtoTypes["GateMessage"]) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
 
 /**
- * The part of a sidecar that faces the targets beside it: who is there, the gates to
- * them, what is thought of them, and the records of what ran under a key.
+ * The part of a sidecar that manages its local targets: their announcements, their gates and health
+ * detectors, and the idempotency records of requests that ran under a key.
  */
 export class TargetSide extends Disposable implements TargetAnnouncements {
   readonly #deps: TargetSideDeps;
   readonly #gates: TargetGates;
   readonly #records: RunRecords;
   readonly gateServer: GateServer;
-  /** The runs under way at the targets here. */
+  /** The runs in progress at the local targets. */
   readonly runs: ActiveRuns;
-  /** Takes what other sidecars, and this one, ask the gates here. */
+  /** Receives the slot requests that other sidecars and this one send to the local gates. */
   readonly slotServer: SlotServer;
 
   constructor(deps: TargetSideDeps) {
     super();
     this.#deps = deps;
     const { table, clock, log, dialect, cfg, tracing, metrics, tell } = deps;
-    const grants = new GrantIds(randomBytes(BOOT_BYTES).toString("hex"));
+    const grants = new GrantIds(randomBytes(BOOT_ID_BYTES).toString("hex"));
     this.runs = new ActiveRuns(clock);
     this.#gates = new TargetGates({
       targets: () => table.localTargets(),
-      detectorOf: (target) => this.#detectorOf(target),
+      detectorOf: (target) => this.#createDetector(target),
       waitsForCall: (since) => this.runs.hasOpenCall(since),
       clock,
       grants,
@@ -103,7 +103,7 @@
         sender.renew(target);
       },
     });
-    this.#records = this.register(this.#openRecords());
+    this.#records = this.register(this.#createRecords());
     const sender = this.register(
       new TargetSender({
         dialect,
@@ -112,24 +112,24 @@
         onOtherTarget: (target, other) => {
           log.info({ target: target.id, other }, "another target answers at this address");
           table.noteReplaced(target.id);
-          this.#changed();
+          this.#onTargetsChanged();
         },
       }),
     );
-    const once = this.#onceRunner(sender);
+    const atMostOnceRunner = this.#createAtMostOnceRunner(sender);
     const runner = new TargetRunner({
       gates: this.#gates,
       runs: new RunTable(clock),
       here: this.runs,
       target: (id) => table.localTargets().find((t) => t.id === id),
-      send: (target, req) => sendUnderKey(sender, once, target, req),
+      send: (target, req) => sendAtMostOnce(sender, atMostOnceRunner, target, req),
       grants,
       log,
     });
     this.gateServer = new GateServer({ runner, tracing, clock, log });
     this.slotServer = new SlotServer({ gates: this.#gates, metrics, tell, clock, log });
     this.register(
-      every(EXPIRE_MS, () => {
+      every(EXPIRY_INTERVAL_MS, () => {
         this.#records.expire();
       }),
     );
@@ -140,26 +140,26 @@
     const [{ target_id: target, service, state, born }, sequence] = args;
     const { log, table } = this.#deps;
     if (!this.#isServiceKnown(service)) {
-      // Taken for a target at its address, it would displace the one that is there.
-      log.info({ target, service }, "announcement of a service that is not known");
+      // If it were recorded, it would replace the target that is known at the same address.
+      log.info({ target, service }, "announcement refused: unknown service");
       return `service ${service} is not known`;
     }
     const before = this.#stateOf(target);
     if (!table.announce(...args)) {
-      log.info({ target, state, sequence, born }, "announcement not taken");
+      log.info({ target, state, sequence, born }, "announcement ignored");
       return undefined;
     }
     if (this.#stateOf(target) !== before) {
       log.info({ target, state, before, sequence, born }, "target state");
     }
-    this.#changed();
+    this.#onTargetsChanged();
     return undefined;
   }
 
   withdraw(target: TargetId, born: number): void {
     this.#deps.log.info({ target, born }, "target has left");
     this.#deps.table.withdraw(target, born);
-    this.#changed();
+    this.#onTargetsChanged();
   }
 
   /** The gRPC handlers for the records that this sidecar keeps. */
@@ -167,29 +167,35 @@
     return new RecordService(this.#records, this.#deps.clock).handlers();
   }
 
-  /** This sidecar is being stopped, and ends at `endAt` by its clock, ms: what can be over by then is run. */
+  /**
+   * Announces to the gates that this sidecar exits at `endAt` (ms, by its clock). From now on, only requests
+   * whose runs are expected to end before are run.
+   */
   closeBy(endAt: number): void {
     this.#gates.closeBy(endAt);
   }
 
-  /** Takes no more asks. */
+  /** Refuses all further slot requests. */
   close(): void {
     this.#gates.close();
   }
 
-  /** True while a slot of a target here is granted or in use. */
+  /** Whether any slot of a local target is granted or in use. */
   get isBusy(): boolean {
     return this.#gates.isBusy;
   }
 
-  /** Load of each target here, for `/status`. */
+  /** Returns the load of each local target, for `/status`. */
   describe(): Record<string, unknown>[] {
     return this.#deps.table
       .localTargets()
       .map((t) => ({ id: t.id, ...this.#gates.get(t.id)?.load }));
   }
 
-  /** Whether the document names a service, as far as there is a document; a target of another may come to be routed to later. */
+  /**
+   * Whether the document contains a service; true while there is no document. The service of this sidecar's
+   * callers always counts as known. Targets of other services may get routes in a later document.
+   */
   #isServiceKnown(name: string): boolean {
     const { cfg, document } = this.#deps;
     const services = document()?.services;
@@ -200,12 +206,12 @@
     return this.#deps.table.localTargets().find((t) => t.id === id)?.state;
   }
 
-  #changed(): void {
+  #onTargetsChanged(): void {
     this.#gates.targetsChanged();
     this.#deps.membership.noteLocalChange();
   }
 
-  #detectorOf(target: TargetInfo): HealthDetector {
+  #createDetector(target: TargetInfo): HealthDetector {
     const { cfg, document, clock, log, metrics } = this.#deps;
     if (cfg.policy === "naive") {
       return AlwaysHealthyDetector;
@@ -223,25 +229,27 @@
     });
   }
 
-  #openRecords(): RunRecords {
+  #createRecords(): RunRecords {
     const { cfg, clock } = this.#deps;
     const path = cfg.dataDir && join(cfg.dataDir, RECORDS_FILE);
     const journal = path ? new SyncedJournal<never>(path) : undefined;
     return new RunRecords(journal, () => clock.now());
   }
 
-  #onceRunner(sender: TargetSender): AtMostOnceRunner {
+  #createAtMostOnceRunner(sender: TargetSender): AtMostOnceRunner {
     const { cfg, table, clients, clock } = this.#deps;
     const records = this.#records;
-    const own = {
+    const localPeer = {
       id: cfg.id,
       claim: records.claim.bind(records),
       settle: records.settle.bind(records),
     };
     return new AtMostOnceRunner({
       group: (key) =>
-        chooseRecordGroup(key, table.recordPool()).map((m) =>
-          m.id === own.id ? own : new RemoteRecordPeer(m.id, clients.get(m.peerAddress), clock),
+        chooseRecordGroup(key, table.recordPool()).map((holder) =>
+          holder.id === localPeer.id
+            ? localPeer
+            : new RemoteRecordPeer(holder.id, clients.get(holder.peerAddress), clock),
         ),
       send: (target, req) => sender.send(target, req),
       clock,
@@ -262,15 +270,18 @@
   }
 }
 
-/** Work that must not repeat and has a key runs at most once under it, whatever sidecar it comes through. */
-function sendUnderKey(
+/**
+ * Sends a request to a target. A request that is not idempotent and has an idempotency key runs at most once under
+ * that key, whichever sidecars its attempts come through.
+ */
+function sendAtMostOnce(
   sender: TargetSender,
-  once: AtMostOnceRunner,
+  atMostOnceRunner: AtMostOnceRunner,
   target: TargetInfo,
   req: TargetRequest,
 ): Promise<ForwardResult> {
   const key = req.idempotent ? undefined : idempotencyKeyOf(req.headers);
   return key === undefined
     ? sender.send(target, req)
-    : once.run(`${target.service}/${key}`, target, req);
+    : atMostOnceRunner.run(`${target.service}/${key}`, target, req);
 }
