--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -47,7 +47,7 @@
 import type { TargetAnnouncements } from "./TargetAnnouncements.ts";
 import { TargetSide } from "./TargetSide.ts";
 
-/** What each method's messages count as in the traffic metrics. */
+/** Traffic kinds of the RPC methods and datagram types, for the traffic metric. */
 const TRAFFIC_KINDS: Readonly<Record<string, TrafficKind>> = {
   Datagram: "gossip",
   GateDatagram: "asks",
@@ -59,16 +59,16 @@
   Adopt: "records",
 };
 
-/** Longest that a stop waits for other members' calls to end, ms; they are repeated elsewhere. */
+/** Maximum time that a stop waits for RPCs of other members, ms; the callers repeat them at other members. */
 const PEER_GRACE_MS = 100;
 
-/** A sidecar that has been up for this long knows the targets that are there, ms: each announces itself every 1.5 s. */
-const STARTING_MS = 2500;
+/** Time after the start at which all live targets are known, ms; each target announces itself every 1.5 s. */
+const STARTUP_MS = 2500;
 
-/** The last part of a stop's grace, for closing what is left, ms. */
+/** Time at the end of a stop's grace period that is reserved for closing the remaining components, ms. */
 const STOP_RESERVE_MS = 300;
 
-/** Ports that a sidecar listens at. */
+/** Ports on which a sidecar listens. */
 interface Ports {
   caller: number;
   admin: number;
@@ -76,12 +76,12 @@
   hop: number;
 }
 
-/** What is there once the sidecar has started. */
-interface Parts extends DrainedParts {
+/** The parts that exist once the sidecar has started. */
+interface StartedParts extends DrainedParts {
   readonly announcements: TargetAnnouncements;
 }
 
-/** What the dispatcher is made of. */
+/** The parts that the dispatcher uses. */
 interface DispatcherParts {
   readonly budgets: RetryBudgets;
   readonly borrower: RetryTokenBorrower;
@@ -92,20 +92,20 @@
 }
 
 /**
- * The sidecar beside one target VM: the root of its process's component
- * tree. Disposing it is a planned stop: callers are served on until they have been
- * sent elsewhere, what is in flight ends, and then everything is closed in reverse order.
+ * The sidecar of one target VM: the root of its process's component tree. Disposing it is an orderly stop: callers
+ * are still served until load balancers route them elsewhere, requests in flight end, and then all components are
+ * closed in reverse order.
  */
 export class SidecarRole extends Disposable {
   #cfg: SidecarSettings;
   readonly #startedAt = SystemClock.now();
   readonly #log: bunyan;
   readonly #dialect: Dialect;
-  #parts: Parts | undefined;
-  #ready = () => false;
+  #parts: StartedParts | undefined;
+  #checkReady = () => false;
   #ports: Ports = { caller: 0, admin: 0, peer: 0, hop: 0 };
 
-  /** `dialect` is how callers and targets speak; left out, the product's own headers. */
+  /** @param dialect maps the headers of callers and targets; by default burdockpass's own headers */
   constructor(cfg: SidecarSettings, log: bunyan, dialect: Dialect = ownDialect) {
     super();
     this.#cfg = cfg;
@@ -113,17 +113,17 @@
     this.#dialect = dialect;
   }
 
-  /** Ports actually bound (settings may ask for 0). */
+  /** The ports that were bound; a setting of 0 lets the system choose one. */
   get ports(): Readonly<Ports> {
     return this.#ports;
   }
 
-  /** Callers may be sent here: there is a document, others to work with, and no stop under way. */
+  /** Whether callers may be routed here: there is a document and at least one other live member, and no stop is in progress. */
   get isReady(): boolean {
-    return this.#ready();
+    return this.#checkReady();
   }
 
-  /** Where targets beside this sidecar are announced; there once {@link start} has returned. */
+  /** Receives the announcements of local targets; available once {@link start} has returned. */
   get announcements(): TargetAnnouncements {
     if (!this.#parts) {
       throw new Error("the sidecar has not started");
@@ -131,18 +131,18 @@
     return this.#parts.announcements;
   }
 
-  /** Starts every component; the caller server last, once the rest can serve it. */
+  /** Starts all components; the caller server last, when the components that it needs are running. */
   async start(): Promise<void> {
     const cfg = this.#cfg;
     const metrics = new SidecarMetrics();
-    const note: NoteBytes = (method, bytes) => {
+    const noteBytes: NoteBytes = (method, bytes) => {
       metrics.countControlBytes(TRAFFIC_KINDS[method] ?? "other", bytes);
     };
     const tracing = await openTracing("burdockpass-sidecar", cfg.traceFile);
-    const table = this.#openTable();
+    const table = this.#createTable();
     const caller: { server?: CallerServer } = {};
     const documentWait = new DocumentWait(SystemClock);
-    const follower = this.#follow(table, note, () => {
+    const follower = this.#createConfigFollower(table, noteBytes, () => {
       const { document } = follower;
       if (document) {
         caller.server?.applyLimits(document.limits);
@@ -150,9 +150,9 @@
       }
     });
     const { service } = loadProto().Peer as grpc.ServiceClientConstructor;
-    const peerService = meterService(service, note);
+    const peerService = meterService(service, noteBytes);
     const clients = this.register(new PeerClients(peerService));
-    const link = this.register(new DatagramLink(SystemClock, note));
+    const link = this.register(new DatagramLink(SystemClock, noteBytes));
     const tell: DatagramLink["tell"] = (address, message) => {
       link.tell(address, message);
     };
@@ -184,9 +184,9 @@
         log: this.#log,
       }),
     );
-    const policy = this.register(this.#openPolicy(table));
+    const policy = this.register(this.#createPolicy(table));
     const slotClient = new SlotClient({ tell, clock: SystemClock });
-    const budgets = this.#openBudgets(table, metrics);
+    const budgets = this.#createRetryBudgets(table, metrics);
     const retryTokenClient = new RetryTokenClient({ tell, clock: SystemClock });
     const borrower = new RetryTokenBorrower({
       lenders: () => chooseLenders(table),
@@ -194,7 +194,7 @@
       random: Math.random,
     });
     const { slotServer: gates } = targets;
-    const messages = new GateMessages({
+    const gateMessages = new GateMessages({
       slotClient,
       gates,
       policy,
@@ -214,11 +214,11 @@
     const peerPort = await startGrpcServer(peerServer, cfg.peer, PEER_GRACE_MS);
     this.#ports.peer = this.register(peerPort).port;
     await link.listen(cfg.peer, {
-      onProbe: (news) => membership.onExchange(news),
+      onProbe: (gossip) => membership.onExchange(gossip),
       onCompare: (digests) => membership.onCompare(digests),
       onProbeFor: (address) => membership.onProbe(address),
       onGate: (message, from) => {
-        messages.take(message, from);
+        gateMessages.take(message, from);
       },
     });
     const hopPort = this.register(await startHttpServer(targets.gateServer.server, cfg.hop));
@@ -228,8 +228,8 @@
 
     const hop = this.register(new HopClient(slotClient));
     const calls = new TrafficClassifier({ runs: targets.runs, log: this.#log });
-    const dispatcher = this.#dispatcher({ policy, hop, calls, metrics, budgets, borrower });
-    const splits = new SplitSampler(Math.random);
+    const dispatcher = this.#createDispatcher({ policy, hop, calls, metrics, budgets, borrower });
+    const splitSampler = new SplitSampler(Math.random);
     caller.server = new CallerServer({
       config: () => configOf(follower),
       waitForConfig: () => documentWait.wait(),
@@ -240,7 +240,7 @@
           address,
           table.localTargets().map((t) => t.url),
         ),
-      draw: (route) => splits.next(route),
+      draw: (route) => splitSampler.next(route),
       metrics,
       tracing,
       clock: SystemClock,
@@ -270,33 +270,33 @@
       gates: targets,
       leave: () => membership.leave(),
     };
-    this.#ready = () => follower.version > 0 && table.memberCount > 1;
+    this.#checkReady = () => follower.version > 0 && table.memberCount > 1;
     this.#log.info({ ports: this.#ports, version: follower.version }, "sidecar started");
   }
 
-  /** Takes on settings that can change while it runs: seeds, the retry budget, how it stops. */
+  /** Applies the settings that can change at run time: seeds, retry budget and stop. */
   reload({ seeds, retryBudget, stop }: SidecarSettings): void {
     this.#cfg = { ...this.#cfg, seeds, retryBudget, stop };
   }
 
-  /** Stops as planned; see the settings under `stop`. */
+  /** Stops in an orderly way, with the durations of the setting `stop`. */
   override async dispose(): Promise<void> {
     if (this.isDisposed) {
       return;
     }
     const parts = this.#parts;
     this.#parts = undefined;
-    this.#ready = () => false;
+    this.#checkReady = () => false;
     if (parts) {
       const { callersMs, graceMs } = this.#cfg.stop;
-      const times = { callersMs, endsInMs: graceMs - STOP_RESERVE_MS };
-      await drainSidecar(parts, times, SystemClock, this.#log);
+      const stopTimes = { callersMs, endsInMs: graceMs - STOP_RESERVE_MS };
+      await drainSidecar(parts, stopTimes, SystemClock, this.#log);
     }
-    // What is left holds nothing that anyone waits for, and may not take longer.
+    // No caller or member waits for the remaining components, so closing them must not exceed the reserve.
     await Promise.race([super.dispose(), sleep(STOP_RESERVE_MS)]);
   }
 
-  #openTable(): TargetTable {
+  #createTable(): TargetTable {
     const { id, peer, hop, advertise, zone, announceTimeoutMs } = this.#cfg;
     const self = {
       id: SidecarId(id),
@@ -308,7 +308,7 @@
     return new TargetTable(self, () => SystemClock.now(), announceTimeoutMs);
   }
 
-  #follow(table: TargetTable, note: NoteBytes, onChange: () => void): ConfigFollower {
+  #createConfigFollower(table: TargetTable, note: NoteBytes, onChange: () => void): ConfigFollower {
     const { control, dataDir, id } = this.#cfg;
     return this.register(
       new ConfigFollower({
@@ -324,17 +324,17 @@
     );
   }
 
-  #openPolicy(table: TargetTable): RoutingPolicy {
+  #createPolicy(table: TargetTable): RoutingPolicy {
     if (this.#cfg.policy === "naive") {
-      const naive = new NaivePolicy({ table, probe: probeHealth, log: this.#log });
-      naive.start();
-      return naive;
+      const policy = new NaivePolicy({ table, probe: probeHealth, log: this.#log });
+      policy.start();
+      return policy;
     }
     const zone = ZoneName(this.#cfg.zone);
     return new AdaptivePolicy({ table, zone, clock: SystemClock, random: Math.random });
   }
 
-  #openBudgets(table: TargetTable, metrics: SidecarMetrics): RetryBudgets {
+  #createRetryBudgets(table: TargetTable, metrics: SidecarMetrics): RetryBudgets {
     const budgets = new RetryBudgets({
       rule: () => this.#cfg.retryBudget,
       members: () => table.knownCount,
@@ -346,11 +346,11 @@
     return budgets;
   }
 
-  #dispatcher({ metrics, ...parts }: DispatcherParts): Dispatcher {
+  #createDispatcher({ metrics, ...parts }: DispatcherParts): Dispatcher {
     return new Dispatcher({
       ...parts,
       callerService: this.#cfg.callerService,
-      isStarting: () => SystemClock.now() - this.#startedAt < STARTING_MS,
+      isStarting: () => SystemClock.now() - this.#startedAt < STARTUP_MS,
       onExtraTry: (service, cause) => {
         metrics.countExtraRun(service, cause);
       },
