--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -142,8 +142,8 @@
     const table = this.#createTable();
     const caller: { server?: CallerServer } = {};
     const documentWait = new DocumentWait(SystemClock);
-    const follower = this.#createConfigFollower(table, noteBytes, () => {
-      const { document } = follower;
+    const configFollower = this.#createConfigFollower(table, noteBytes, () => {
+      const { document } = configFollower;
       if (document) {
         caller.server?.applyLimits(document.limits);
         documentWait.release();
@@ -157,7 +157,7 @@
       link.tell(address, message);
     };
     const peers = new NetworkPeers(clients, link);
-    const catchUp = { peers, config: follower, clock: SystemClock, log: this.#log };
+    const catchUp = { peers, config: configFollower, clock: SystemClock, log: this.#log };
     const membership = this.register(
       new Membership({
         table,
@@ -169,13 +169,13 @@
         onNews: logMemberUpdates(this.#log),
       }),
     );
-    const targets = this.register(
+    const targetSide = this.register(
       new TargetSide({
         cfg,
         table,
         membership,
         clients,
-        document: () => follower.document,
+        document: () => configFollower.document,
         dialect: this.#dialect,
         tracing,
         metrics,
@@ -193,7 +193,7 @@
       ask: (...args) => retryTokenClient.ask(...args),
       random: Math.random,
     });
-    const { slotServer: gates } = targets;
+    const { slotServer: gates } = targetSide;
     const gateMessages = new GateMessages({
       slotClient,
       gates,
@@ -203,13 +203,13 @@
       tell,
     });
     metrics.watchConfig(
-      () => follower,
+      () => configFollower,
       () => SystemClock.now(),
     );
     const peerServer = new grpc.Server();
     peerServer.addService(peerService, {
-      ...peerHandlers(membership, follower),
-      ...targets.recordHandlers(),
+      ...peerHandlers(membership, configFollower),
+      ...targetSide.recordHandlers(),
     });
     const peerPort = await startGrpcServer(peerServer, cfg.peer, PEER_GRACE_MS);
     this.#ports.peer = this.register(peerPort).port;
@@ -221,17 +221,17 @@
         gateMessages.take(message, from);
       },
     });
-    const hopPort = this.register(await startHttpServer(targets.gateServer.server, cfg.hop));
+    const hopPort = this.register(await startHttpServer(targetSide.gateServer.server, cfg.hop));
     this.#ports.hop = hopPort.port;
     membership.start(cfg.gossipIntervalMs);
-    follower.start();
+    configFollower.start();
 
     const hop = this.register(new HopClient(slotClient));
-    const calls = new TrafficClassifier({ runs: targets.runs, log: this.#log });
+    const calls = new TrafficClassifier({ runs: targetSide.runs, log: this.#log });
     const dispatcher = this.#createDispatcher({ policy, hop, calls, metrics, budgets, borrower });
     const splitSampler = new SplitSampler(Math.random);
     caller.server = new CallerServer({
-      config: () => configOf(follower),
+      config: () => configOf(configFollower),
       waitForConfig: () => documentWait.wait(),
       dispatcher,
       dialect: this.#dialect,
@@ -247,9 +247,9 @@
       log: this.#log,
     });
     const admin = new AdminServer({
-      announcements: targets,
+      announcements: targetSide,
       metrics,
-      status: () => this.#status(table, follower, policy, targets),
+      status: () => this.#status(table, configFollower, policy, targetSide),
       isReady: () => this.isReady,
       log: this.#log,
     });
@@ -258,7 +258,7 @@
     this.#ports.caller = callerPort.port;
     const { server } = caller;
     this.#parts = {
-      announcements: targets,
+      announcements: targetSide,
       beginStop: () => {
         server.beginStop();
         membership.beginStop();
@@ -267,11 +267,11 @@
       refuseWaiting: () => {
         dispatcher.close();
       },
-      gates: targets,
+      gates: targetSide,
       leave: () => membership.leave(),
     };
-    this.#checkReady = () => follower.version > 0 && table.memberCount > 1;
-    this.#log.info({ ports: this.#ports, version: follower.version }, "sidecar started");
+    this.#checkReady = () => configFollower.version > 0 && table.memberCount > 1;
+    this.#log.info({ ports: this.#ports, version: configFollower.version }, "sidecar started");
   }
 
   /** Applies the settings that can change at run time: seeds, retry budget and stop. */
@@ -364,25 +364,25 @@
 
   #status(
     table: TargetTable,
-    follower: ConfigFollower,
+    configFollower: ConfigFollower,
     policy: RoutingPolicy,
-    targets: TargetSide,
+    targetSide: TargetSide,
   ): Record<string, unknown> {
     const rotation = new Map(policy.describe().map((d) => [d.id, d.rotation]));
     return {
       role: "sidecar",
       id: this.#cfg.id,
       zone: this.#cfg.zone,
-      configVersion: follower.version,
+      configVersion: configFollower.version,
       members: table.memberCount,
       targets: table.allTargets().map((t) => ({ ...t, rotation: rotation.get(t.id) ?? "in" })),
-      beside: targets.describe(),
+      beside: targetSide.describe(),
     };
   }
 }
 
-function configOf(follower: ConfigFollower) {
-  const { routes, document, version } = follower;
+function configOf(configFollower: ConfigFollower) {
+  const { routes, document, version } = configFollower;
   return routes && document && { version, routes, limits: document.limits };
 }
 
