--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -118,7 +118,7 @@
     return this.#ports;
   }
 
-  /** Whether callers may be routed here: there is a document and at least one other live member, and no stop is in progress. */
+  /** Whether callers may be routed here: there are a document and another live member, and no stop is in progress. */
   get isReady(): boolean {
     return this.#checkReady();
   }
--- a/src/sidecar/admin/AdminServer.ts
+++ b/src/sidecar/admin/AdminServer.ts
@@ -18,9 +18,9 @@
   state: z.enum(TargetState),
   /** Path of the health endpoint at `url`; empty for none. */
   healthPath: z.string().default(""),
-  /** Rises with each announcement, so that a delayed one can be detected. A target that leaves it out has no such check. */
+  /** Rises with each announcement, so that a delayed one is ignored. Without it, delayed ones are not detected. */
   sequence: z.number().int().min(0).default(0),
-  /** Start time of the target, Unix ms. Without it, incarnations of a target cannot be told apart. */
+  /** Start time of the target, Unix ms. Without it, incarnations of a target cannot be distinguished. */
   born: z.number().int().min(0).default(0),
 });
 
--- a/src/sidecar/admin/SidecarMetrics.ts
+++ b/src/sidecar/admin/SidecarMetrics.ts
@@ -1,7 +1,7 @@
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { TrafficKind } from "./TrafficKind.ts";
 
-/** Buckets for request durations, seconds: fine below 2 ms, which is the users' limit for the latency that a sidecar adds. */
+/** Buckets for added latency, seconds. They are fine below 2 ms, the users' limit for the latency that a sidecar adds. */
 const LATENCY_BUCKETS = [
   0.0005, 0.001, 0.0017, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 1, 2.5,
 ];
--- a/src/sidecar/ingress/CallerConnections.ts
+++ b/src/sidecar/ingress/CallerConnections.ts
@@ -14,7 +14,7 @@
 
 /**
  * Tracks the pending requests on each caller's connection. A caller may pipeline requests. When
- * its connection closes, Node emits `close` only on the response to the first of them, and the
+ * its connection closes, Node reports that only on the response to the first of them, and the
  * others would be processed although nobody receives their responses.
  */
 export class CallerConnections {
--- a/src/sidecar/ingress/CallerServer.test.ts
+++ b/src/sidecar/ingress/CallerServer.test.ts
@@ -130,7 +130,7 @@
   });
 }
 
-// A caller pipelines three requests and loses its connection. Node emits `close` only on the first
+// A caller pipelines three requests and loses its connection. Node reports that only on the first
 // response, so the other two requests continued and occupied slots although nobody could receive
 // their responses.
 test("a disconnect aborts every request that was pipelined on the connection", async (t) => {
--- a/src/sidecar/ingress/refuseMalformed.ts
+++ b/src/sidecar/ingress/refuseMalformed.ts
@@ -10,7 +10,7 @@
 
 const BAD_REQUEST = 400;
 
-/** Sends an error response to malformed HTTP, or to a request head that did not arrive in time, and closes the connection. */
+/** Sends an error response to malformed HTTP or to a request head that came too late, and closes the connection. */
 export function refuseMalformed(err: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable) {
     socket.destroy();
