--- a/experiment/Arrivals.ts
+++ b/experiment/Arrivals.ts
@@ -33,26 +33,30 @@
   readonly #counts = new Map<string, number>();
 
   /** Notes that a caller sends a request for `service`. */
-  noteRequest(service: string, at: number): void {
+  recordRequest(service: string, at: number): void {
     this.#requests.push({ service, at });
   }
 
   /**
    * Notes a request that reaches a target.
    *
-   * @param isOfRepeat it is a call made by a run that repeats another
+   * @param isFromRepeatedRun it is a call made by a run that repeats another
    * @returns whether it is extra
    */
-  noteArrival(attempt: string, arrival: Omit<Arrival, "isExtra">, isOfRepeat: boolean): boolean {
+  recordArrival(
+    attempt: string,
+    arrival: Omit<Arrival, "isExtra">,
+    isFromRepeatedRun: boolean,
+  ): boolean {
     const count = (this.#counts.get(attempt) ?? 0) + 1;
     this.#counts.set(attempt, count);
-    const isExtra = count > 1 || isOfRepeat;
+    const isExtra = count > 1 || isFromRepeatedRun;
     this.#arrivals.push({ ...arrival, isExtra });
     return isExtra;
   }
 
   /** Targets of `service` that a request has reached from `fromMs` to `untilMs`. */
-  reached(service: string, fromMs: number, untilMs: number): Set<string> {
+  targetsReached(service: string, fromMs: number, untilMs: number): Set<string> {
     const within = this.#arrivals.filter(
       (a) => a.service === service && fromMs <= a.at && a.at < untilMs,
     );
@@ -63,7 +67,7 @@
    * Requests without another try that reach one target in a second, at most, while its sidecar knows a chance to
    * fail of `risk` and more. Those with one may: they tell whether it is well, and go there when no other is in reach.
    */
-  mostAtRisk(risk: number): { target: string; fromMs: number; count: number } {
+  worstRiskySecond(risk: number): { target: string; fromMs: number; count: number } {
     const risky = this.#arrivals.filter((a) => !a.idempotent && a.risk >= risk);
     const bursts = risky.map(({ target, at }) => ({
       target,
--- a/experiment/Scenario.ts
+++ b/experiment/Scenario.ts
@@ -1,5 +1,5 @@
 /** One kind of request, and the calls that its targets make while they work on it. */
-export interface LoadKind {
+export interface RequestKind {
   readonly name: string;
   readonly service: string;
   readonly idempotent: boolean;
@@ -10,37 +10,37 @@
   readonly objectiveMs: number;
   readonly deadlineMs: number;
   /** What an answer in time is worth, and one after its objective. */
-  readonly worth: readonly [inTime: number, late: number];
+  readonly credit: readonly [inTime: number, late: number];
   /** A kind of call that a share of its runs makes, so many times. */
-  readonly calls?: { readonly kind: string; readonly times: number; readonly share: number };
+  readonly nestedCalls?: { readonly kind: string; readonly count: number; readonly share: number };
 }
 
 /** Targets of a service that fail most of what they are given for a while. */
-export interface GraySpell {
+export interface GrayPeriod {
   readonly service: string;
   readonly count: number;
   readonly fromMs: number;
-  readonly forMs: number;
+  readonly durationMs: number;
   /** Share of requests that fail, at once. */
-  readonly fails: number;
+  readonly failureRate: number;
   /** Share of requests that are refused, unrun, though there is room; none where it is left out. */
-  readonly sheds?: number;
+  readonly shedRate?: number;
   /** Work takes this many times as long. */
-  readonly slow?: number;
+  readonly slowdown?: number;
 }
 
 /** More requests than usual for a while. */
 export interface Burst {
   readonly fromMs: number;
-  readonly forMs: number;
-  readonly times: number;
+  readonly durationMs: number;
+  readonly rateFactor: number;
 }
 
 /** Sidecars that are stopped as planned, one after the other, and started again. */
 export interface RollingStop {
   readonly fromMs: number;
   readonly count: number;
-  readonly gapMs: number;
+  readonly intervalMs: number;
 }
 
 /** A load on a fleet, and what goes wrong. */
@@ -57,13 +57,17 @@
   /** How many of the callers come in each zone, in proportion; evenly where it is left out. */
   readonly zoneShares?: readonly number[];
   /** One way between availability zones, ms. */
-  readonly zoneMs: number;
-  readonly kinds: readonly LoadKind[];
+  readonly zoneLatencyMs: number;
+  readonly kinds: readonly RequestKind[];
   /** At any time this share of the targets is gray, in spells of random length, `spellMs` on average. */
-  readonly noise?: { readonly share: number; readonly spellMs: number; readonly fails: number };
-  readonly spells?: readonly GraySpell[];
+  readonly randomGray?: {
+    readonly share: number;
+    readonly meanMs: number;
+    readonly failureRate: number;
+  };
+  readonly grayPeriods?: readonly GrayPeriod[];
   /** Share of requests that sound targets fail by themselves; the users' where it is left out. */
-  readonly ownErrors?: number;
+  readonly baseErrorRate?: number;
   readonly bursts?: readonly Burst[];
   readonly stops?: readonly RollingStop[];
   readonly lengthMs: number;
--- a/experiment/SimClock.ts
+++ b/experiment/SimClock.ts
@@ -5,12 +5,12 @@
   readonly due: number;
   /** Orders entries that are due at the same moment by when they were set. */
   readonly order: number;
-  readonly act: () => void;
+  readonly callback: () => void;
   cancelled: boolean;
 }
 
 /** Promise callbacks that wait on each other need as many turns of the microtask queue. */
-const SETTLE_TURNS = 12;
+const MICROTASK_TURNS = 12;
 
 /** Simulated time: a heap of timers, run one after the other as fast as they come. */
 export class SimClock implements Clock {
@@ -22,11 +22,11 @@
     return this.#now;
   }
 
-  after(ms: number, act: () => void): Timer {
+  after(ms: number, callback: () => void): Timer {
     const entry = {
       due: this.#now + Math.max(0, ms),
       order: this.#order++,
-      act,
+      callback,
       cancelled: false,
     };
     this.#push(entry);
@@ -48,8 +48,8 @@
       this.#pop();
       if (!next.cancelled) {
         this.#now = next.due;
-        next.act();
-        for (let i = 0; i < SETTLE_TURNS; i++) {
+        next.callback();
+        for (let i = 0; i < MICROTASK_TURNS; i++) {
           await Promise.resolve();
         }
       }
--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -11,7 +11,7 @@
 import type { RetryBudgetRule } from "../src/sidecar/routing/RetryBudget.ts";
 import type { RouteMatch } from "../src/sidecar/routing/RouteMatch.ts";
 import { Arrivals } from "./Arrivals.ts";
-import type { LoadKind, RollingStop, Scenario } from "./Scenario.ts";
+import type { RequestKind, RollingStop, Scenario } from "./Scenario.ts";
 import type { SimClock } from "./SimClock.ts";
 import { SimSidecar, type SimVm } from "./SimSidecar.ts";
 import { SimTarget } from "./SimTarget.ts";
@@ -20,11 +20,11 @@
 
 /** A route's time and retry rules, as the users' operators set them. */
 const ATTEMPTS = 2;
-const BUDGET = { ratio: 0.2, windowMs: 10_000, slack: 58 } as const;
+const RETRY_BUDGET = { ratio: 0.2, windowMs: 10_000, slack: 58 } as const;
 const FLOOR = 0.49;
 
 /** Time that news of a target takes to all origins, ms. */
-const NEWS_MS = 2;
+const LOAD_UPDATE_MS = 2;
 
 /** Time that news of a member takes to all others, ms. */
 const GOSSIP_MS = 200;
@@ -34,22 +34,22 @@
 const ANNOUNCE_MS = 350;
 
 /** Runs that began in a spell have ended this long after it, ms. */
-const AFTER_SPELL_MS = 2000;
+const AFTER_GRAY_MS = 2000;
 
 /** A target found gray. */
 interface Ejection {
   readonly at: number;
   readonly service: string;
   /** It was wrong: the target is in no spell, and has not been for a while. */
-  readonly wasSound: boolean;
+  readonly wasHealthy: boolean;
 }
 
 /** Who sends a request: a caller, or a target that makes a call. */
 interface Caller {
   readonly from: string;
-  readonly isRepeat: boolean;
+  readonly isRepeatedRun: boolean;
   /** Made by a target in the midst of a run. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
 }
 
 /** A fleet in one process: the product's own decisions, around simulated targets, network and time. */
@@ -58,7 +58,7 @@
   readonly #variant: Variant;
   readonly #clock: SimClock;
   readonly #random: () => number;
-  readonly #kinds: ReadonlyMap<string, LoadKind>;
+  readonly #kinds: ReadonlyMap<string, RequestKind>;
   readonly #vms: readonly SimVm[];
   readonly #targets = new Map<string, SimTarget>();
   readonly #sidecars = new Map<string, SimSidecar>();
@@ -66,9 +66,9 @@
   readonly #ejected = new Set<string>();
   readonly #ejections: Ejection[] = [];
   /** Lives of each VM's sidecar so far. */
-  readonly #lives = new Map<string, number>();
-  #attempts = 0;
-  #asks = 0;
+  readonly #incarnations = new Map<string, number>();
+  #attemptCount = 0;
+  #slotRequests = 0;
   readonly tally = new Tally();
 
   constructor(scenario: Scenario, variant: Variant, clock: SimClock, random: () => number) {
@@ -86,15 +86,15 @@
       })),
     );
     for (const { name } of this.#vms) {
-      this.#targets.set(name, new SimTarget(clock, random, scenario.ownErrors));
+      this.#targets.set(name, new SimTarget(clock, random, scenario.baseErrorRate));
     }
     this.#vms.forEach((vm) => {
-      this.#sidecars.set(vm.name, this.#open(vm));
+      this.#sidecars.set(vm.name, this.#createSidecar(vm));
     });
-    this.#tell([...this.#sidecars.values()].map((s) => s.describe(false)));
-    this.#planSpells();
+    this.#broadcast([...this.#sidecars.values()].map((s) => s.describeMember(false)));
+    this.#scheduleGrayPeriods();
     scenario.stops?.forEach((stop) => {
-      this.#planStops(stop);
+      this.#scheduleStops(stop);
     });
   }
 
@@ -110,50 +110,53 @@
 
   /** The fleet's retry budget. */
   get budget(): RetryBudgetRule {
-    return { ...BUDGET, slack: this.#scenario.retrySlack ?? BUDGET.slack };
+    return { ...RETRY_BUDGET, slack: this.#scenario.retrySlack ?? RETRY_BUDGET.slack };
   }
 
   /** Asks for slots made so far. */
-  get asks(): number {
-    return [...this.#sidecars.values()].reduce((sum, s) => sum + s.hop.asks, this.#asks);
+  get slotRequests(): number {
+    return [...this.#sidecars.values()].reduce(
+      (sum, s) => sum + s.hop.slotRequests,
+      this.#slotRequests,
+    );
   }
 
   /** Targets of `service` that are in no spell from `fromMs` to `untilMs`. */
-  sound(service: string, fromMs: number, untilMs: number): string[] {
+  healthyTargets(service: string, fromMs: number, untilMs: number): string[] {
     const names = this.#vms.filter((vm) => vm.service === service).map((vm) => vm.name);
-    return names.filter((name) => this.#targets.get(name)?.isSound(fromMs, untilMs));
+    return names.filter((name) => this.#targets.get(name)?.isHealthy(fromMs, untilMs));
   }
 
   /** Plays the load to its end, and until every request has ended. */
-  async play(): Promise<void> {
+  async run(): Promise<void> {
     const { kinds, lengthMs } = this.#scenario;
     kinds
       .filter((k) => k.perSecond > 0)
       .forEach((k) => {
-        this.#arriveNext(k);
+        this.#scheduleNextArrival(k);
       });
-    const longest = Math.max(...kinds.map((k) => k.deadlineMs));
-    await this.#clock.run(lengthMs + longest);
+    const longestDeadlineMs = Math.max(...kinds.map((k) => k.deadlineMs));
+    await this.#clock.run(lengthMs + longestDeadlineMs);
   }
 
-  #open(vm: SimVm): SimSidecar {
-    const life = (this.#lives.get(vm.name) ?? 0) + 1;
-    this.#lives.set(vm.name, life);
+  #createSidecar(vm: SimVm): SimSidecar {
+    const incarnationNumber = (this.#incarnations.get(vm.name) ?? 0) + 1;
+    this.#incarnations.set(vm.name, incarnationNumber);
     const sidecar: SimSidecar = new SimSidecar({
       vm,
-      life,
-      zoneMs: this.#scenario.zoneMs,
+      incarnationNumber,
+      zoneLatencyMs: this.#scenario.zoneLatencyMs,
       budget: this.budget,
       sidecars: this.#sidecars,
-      work: (req) => this.#work(vm, req),
-      onJudged: (load) => {
-        this.#noteJudged(vm, load);
-        this.#spreadNews(vm, load);
+      runAtTarget: (req) => this.#runAtTarget(vm, req),
+      onHealthChange: (load) => {
+        this.#recordEjection(vm, load);
+        this.#broadcastLoad(vm, load);
       },
       onLeaving: () => {
-        const news = [sidecar.describe(true)];
+        const update = [sidecar.describeMember(true)];
         this.#clock.after(GOSSIP_MS, () => {
-          this.#tell(news);
+          this.#broadcast(update);
         });
       },
       variant: this.#variant,
@@ -163,79 +166,93 @@
     return sidecar;
   }
 
-  #tell(members: readonly ProtoTypes["Member"][]): void {
+  #broadcast(members: readonly ProtoTypes["Member"][]): void {
     for (const sidecar of this.#sidecars.values()) {
-      sidecar.hear(members);
+      sidecar.mergeMembers(members);
     }
   }
 
-  #noteJudged({ name, service }: SimVm, { ejected }: GateLoad): void {
+  #recordEjection({ name, service }: SimVm, { ejected }: GateLoad): void {
     const now = this.#clock.now();
     if (ejected && !this.#ejected.has(name)) {
       this.#ejected.add(name);
-      this.#ejections.push({ at: now, service, wasSound: this.#isSoundLately(name) });
+      this.#ejections.push({ at: now, service, wasHealthy: this.#wasRecentlyHealthy(name) });
     } else if (!ejected) {
       this.#ejected.delete(name);
     }
   }
 
   /** The target has been in no spell for so long that nothing it did in one can be told of it now. */
-  #isSoundLately(name: string): boolean {
+  #wasRecentlyHealthy(name: string): boolean {
     const now = this.#clock.now();
-    return this.#targets.get(name)?.isSound(now - AFTER_SPELL_MS, now) ?? false;
+    return this.#targets.get(name)?.isHealthy(now - AFTER_GRAY_MS, now) ?? false;
   }
 
   /** Tells every origin what is thought of a target; the product tells those that have asked it lately. */
-  #spreadNews({ name }: SimVm, load: GateLoad): void {
-    this.#clock.after(NEWS_MS, () => {
+  #broadcastLoad({ name }: SimVm, load: GateLoad): void {
+    this.#clock.after(LOAD_UPDATE_MS, () => {
       for (const { policy } of this.#sidecars.values()) {
         policy.noteLoad(TargetId(name), load);
       }
     });
   }
 
-  #planStops({ fromMs, count, gapMs }: RollingStop): void {
+  #scheduleStops({ fromMs, count, intervalMs }: RollingStop): void {
     const order = [...this.#vms].sort((a, b) => a.zone - b.zone).slice(0, count);
     order.forEach((vm, n) => {
-      this.#clock.after(fromMs + n * gapMs, () => void this.#restart(vm));
+      this.#clock.after(fromMs + n * intervalMs, () => void this.#restart(vm));
     });
   }
 
   async #restart(vm: SimVm): Promise<void> {
     const old = this.#sidecars.get(vm.name);
     await old?.stop();
-    this.#asks += old?.hop.asks ?? 0;
+    this.#slotRequests += old?.hop.slotRequests ?? 0;
     this.#sidecars.delete(vm.name);
     this.#clock.after(RESTART_MS + ANNOUNCE_MS, () => {
-      const sidecar = this.#open(vm);
+      const sidecar = this.#createSidecar(vm);
       this.#sidecars.set(vm.name, sidecar);
-      sidecar.hear([...this.#sidecars.values()].map((s) => s.describe(!s.isReady)));
+      sidecar.mergeMembers([...this.#sidecars.values()].map((s) => s.describeMember(!s.isReady)));
       this.#clock.after(GOSSIP_MS, () => {
-        this.#tell([sidecar.describe(false)]);
+        this.#broadcast([sidecar.describeMember(false)]);
       });
     });
   }
 
-  #planSpells(): void {
-    const { noise, spells = [], lengthMs } = this.#scenario;
-    for (const { service, count, fromMs, forMs, fails, sheds = 0, slow = 1 } of spells) {
-      const hit = this.#vms.filter((vm) => vm.service === service).slice(0, count);
-      hit.forEach(({ name }) => {
-        const spell = { from: fromMs, until: fromMs + forMs, fails, sheds, slow };
-        this.#targets.get(name)?.addSpell(spell);
+  #scheduleGrayPeriods(): void {
+    const { randomGray, grayPeriods = [], lengthMs } = this.#scenario;
+    for (const {
+      service,
+      count,
+      fromMs,
+      durationMs,
+      failureRate,
+      shedRate = 0,
+      slowdown = 1,
+    } of grayPeriods) {
+      const affected = this.#vms.filter((vm) => vm.service === service).slice(0, count);
+      affected.forEach(({ name }) => {
+        const interval = {
+          from: fromMs,
+          until: fromMs + durationMs,
+          failureRate,
+          shedRate,
+          slowdown,
+        };
+        this.#targets.get(name)?.addGrayInterval(interval);
       });
     }
-    if (!noise) {
+    if (!randomGray) {
       return;
     }
-    const { share, spellMs, fails } = noise;
-    const soundMs = (spellMs * (1 - share)) / share;
+    const { share, meanMs: meanGrayMs, failureRate } = randomGray;
+    const meanHealthyMs = (meanGrayMs * (1 - share)) / share;
     for (const target of this.#targets.values()) {
       const isGray = this.#random() < share;
-      for (let at = isGray ? 0 : this.#exponential(soundMs); at < lengthMs;) {
-        const until = at + this.#exponential(spellMs);
-        target.addSpell({ from: at, until, fails, sheds: 0, slow: 1 });
-        at = until + this.#exponential(soundMs);
+      for (let at = isGray ? 0 : this.#exponential(meanHealthyMs); at < lengthMs;) {
+        const until = at + this.#exponential(meanGrayMs);
+        target.addGrayInterval({ from: at, until, failureRate, shedRate: 0, slowdown: 1 });
+        at = until + this.#exponential(meanHealthyMs);
       }
     }
   }
@@ -245,67 +262,69 @@
     return -Math.log(1 - this.#random()) * mean;
   }
 
-  #arriveNext(kind: LoadKind): void {
-    const times = this.#burstAt(this.#clock.now());
-    const wait = this.#exponential(1000 / (kind.perSecond * times));
+  #scheduleNextArrival(kind: RequestKind): void {
+    const rateFactor = this.#rateFactorAt(this.#clock.now());
+    const wait = this.#exponential(1000 / (kind.perSecond * rateFactor));
     this.#clock.after(wait, () => {
       if (this.#clock.now() < this.#scenario.lengthMs) {
-        void this.#caller(kind);
-        this.#arriveNext(kind);
+        void this.#sendCallerRequest(kind);
+        this.#scheduleNextArrival(kind);
       }
     });
   }
 
-  #burstAt(now: number): number {
-    const burst = this.#scenario.bursts?.find((b) => b.fromMs <= now && now < b.fromMs + b.forMs);
-    return burst?.times ?? 1;
+  #rateFactorAt(now: number): number {
+    const burst = this.#scenario.bursts?.find(
+      (b) => b.fromMs <= now && now < b.fromMs + b.durationMs,
+    );
+    return burst?.rateFactor ?? 1;
   }
 
-  async #caller(kind: LoadKind): Promise<void> {
-    const zone = this.#callerZone();
+  async #sendCallerRequest(kind: RequestKind): Promise<void> {
+    const zone = this.#pickCallerZone();
     const ready = [...this.#sidecars.values()].filter(
       (s) => s.isReady && (zone === undefined || s.vm.zone === zone),
     );
     const from = ready[Math.floor(this.#random() * ready.length)]?.vm.name ?? "";
     const startedAt = this.#clock.now();
-    this.#arrivals.noteRequest(kind.service, startedAt);
-    const caller = { from, isRepeat: false, isCall: false };
-    const end = await this.#send(kind, caller, startedAt + kind.deadlineMs);
-    this.tally.add({ kind, startedAt, endedAt: this.#clock.now(), end });
+    this.#arrivals.recordRequest(kind.service, startedAt);
+    const caller = { from, isRepeatedRun: false, isNestedCall: false };
+    const outcome = await this.#send(kind, caller, startedAt + kind.deadlineMs);
+    this.tally.add({ kind, startedAt, endedAt: this.#clock.now(), outcome });
   }
 
   /** Where the next caller comes; undefined for anywhere. */
-  #callerZone(): number | undefined {
+  #pickCallerZone(): number | undefined {
     const { zoneShares: shares } = this.#scenario;
     let left = this.#random() * (shares ?? []).reduce((sum, share) => sum + share, 0);
     return shares?.findIndex((share) => (left -= share) < 0);
   }
 
   async #send(
-    kind: LoadKind,
-    { from, isRepeat, isCall }: Caller,
+    kind: RequestKind,
+    { from, isRepeatedRun, isNestedCall }: Caller,
     deadlineAt: number,
   ): Promise<"served" | "refused" | "failed"> {
-    const id = `${kind.name}/${++this.#attempts}${isRepeat ? REPEAT_MARK : ""}`;
-    const out = await this.#sidecars.get(from)?.dispatch(routeOf(kind), {
+    const id = `${kind.name}/${++this.#attemptCount}${isRepeatedRun ? REPEAT_MARK : ""}`;
+    const result = await this.#sidecars.get(from)?.dispatch(routeOf(kind), {
       attempt: AttemptId(id),
       method: "GET",
       path: "/",
       headers: [],
       body: undefined,
-      origin: isCall ? RequestOrigin.TargetVm : RequestOrigin.Elsewhere,
+      origin: isNestedCall ? RequestOrigin.TargetVm : RequestOrigin.Elsewhere,
       startedAt: this.#clock.now(),
       deadlineAt,
       left: new AbortController().signal,
     });
-    if (out?.verdict.kind === "not-run") {
+    if (result?.verdict.kind === "not-run") {
       return "refused";
     }
-    return out?.verdict.kind === "done" && out.verdict.status < 500 ? "served" : "failed";
+    return result?.verdict.kind === "done" && result.verdict.status < 500 ? "served" : "failed";
   }
 
   /** A target works on a request, with the calls that its kind makes. */
-  async #work(vm: SimVm, { words, deadlineAt }: TargetRequest): Promise<ForwardResult> {
+  async #runAtTarget(vm: SimVm, { words, deadlineAt }: TargetRequest): Promise<ForwardResult> {
     const { attempt } = words;
     const kind = this.#kinds.get(attempt.split("/")[0] ?? "");
     const target = this.#targets.get(vm.name);
@@ -316,28 +335,34 @@
     const { idempotent } = kind;
     const at = this.#clock.now();
     const arrival = { at, service: vm.service, target: vm.name, idempotent, risk };
-    const isOfRepeat = attempt.endsWith(REPEAT_MARK);
-    const isRepeat = this.#arrivals.noteArrival(attempt, arrival, isOfRepeat);
-    const caller = { from: vm.name, isRepeat, isCall: true };
-    const end = await target.run(kind.workMs, () => this.#makeCalls(kind, caller, deadlineAt));
-    if (end === "shed") {
+    const isFromRepeatedRun = attempt.endsWith(REPEAT_MARK);
+    const isRepeatedRun = this.#arrivals.recordArrival(attempt, arrival, isFromRepeatedRun);
+    const caller = { from: vm.name, isRepeatedRun, isNestedCall: true };
+    const outcome = await target.run(kind.workMs, () =>
+      this.#makeNestedCalls(kind, caller, deadlineAt),
+    );
+    if (outcome === "shed") {
       const verdict = { kind: "not-run", reason: "refused", retryAfterMs: 1000 } as const;
       return { verdict, outcome: AttemptOutcome.Shed };
     }
     if (this.#clock.now() > deadlineAt) {
-      return ended(vm, TIMED_OUT);
+      return resultOf(vm, TIMED_OUT);
     }
-    return ended(vm, end === "ok" ? OK : FAILED);
+    return resultOf(vm, outcome === "ok" ? OK : FAILED);
   }
 
-  async #makeCalls({ calls }: LoadKind, caller: Caller, deadlineAt: number): Promise<boolean> {
-    const kind = calls && this.#kinds.get(calls.kind);
-    if (!calls || !kind || this.#random() >= calls.share) {
+  async #makeNestedCalls(
+    { nestedCalls }: RequestKind,
+    caller: Caller,
+    deadlineAt: number,
+  ): Promise<boolean> {
+    const kind = nestedCalls && this.#kinds.get(nestedCalls.kind);
+    if (!nestedCalls || !kind || this.#random() >= nestedCalls.share) {
       return true;
     }
-    for (let n = 0; n < calls.times; n++) {
-      const due = Math.min(deadlineAt, this.#clock.now() + kind.deadlineMs);
-      if ((await this.#send(kind, caller, due)) !== "served") {
+    for (let n = 0; n < nestedCalls.count; n++) {
+      const callDeadline = Math.min(deadlineAt, this.#clock.now() + kind.deadlineMs);
+      if ((await this.#send(kind, caller, callDeadline)) !== "served") {
         return false;
       }
     }
@@ -349,13 +374,13 @@
 const REPEAT_MARK = "+";
 
 /** How a run that was not refused ends: the status of its answer, and what it says of the target. */
-type Ending = readonly [status: number, outcome: AttemptOutcome];
+type RunEnding = readonly [status: number, outcome: AttemptOutcome];
 
-const OK: Ending = [200, AttemptOutcome.Ok];
-const FAILED: Ending = [500, AttemptOutcome.Failed];
-const TIMED_OUT: Ending = [504, AttemptOutcome.TimedOut];
+const OK: RunEnding = [200, AttemptOutcome.Ok];
+const FAILED: RunEnding = [500, AttemptOutcome.Failed];
+const TIMED_OUT: RunEnding = [504, AttemptOutcome.TimedOut];
 
-function ended({ name }: SimVm, [status, outcome]: Ending): ForwardResult {
+function resultOf({ name }: SimVm, [status, outcome]: RunEnding): ForwardResult {
   return {
     verdict: { kind: "done", target: TargetId(name), status },
     outcome,
@@ -364,7 +389,7 @@
   };
 }
 
-function routeOf(kind: LoadKind): RouteMatch {
+function routeOf(kind: RequestKind): RouteMatch {
   return {
     name: kind.name,
     service: Service.parse({ name: kind.service, floor: FLOOR, detection: GRAY_DETECTION }),
--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -14,19 +14,19 @@
 import type { SimSidecar } from "./SimSidecar.ts";
 
 /** A signal that a request is alive comes this often, ms; as between real sidecars. */
-const ALIVE_MS = 300;
+const KEEPALIVE_MS = 300;
 
 /** What it takes a sidecar to handle a message, ms. Assumed: with 0.9 ms between zones it makes a round trip of 2 to 4 ms. */
 const HANDLING_MS = 1;
 
 /** One that is asked for leave to retry and does not answer is passed over after this long, ms. */
-const LOAN_SILENCE_MS = 40;
+const BORROW_TIMEOUT_MS = 40;
 
 interface SimHopDeps {
   /** The sidecars that there are now, by their VMs' names. */
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
   readonly zone: number;
-  readonly zoneMs: number;
+  readonly zoneLatencyMs: number;
   readonly clock: Clock;
 }
 
@@ -34,7 +34,7 @@
 export class SimHop implements HopLink {
   readonly #deps: SimHopDeps;
   /** Asks made so far. */
-  asks = 0;
+  slotRequests = 0;
 
   constructor(deps: SimHopDeps) {
     this.#deps = deps;
@@ -45,17 +45,17 @@
     request: SlotRequest,
     onQueued: (load: GateLoad) => void,
   ): PendingCall<SlotReply> {
-    this.asks += 1;
-    let givenUp = false;
+    this.slotRequests += 1;
+    let cancelled = false;
     let withdraw: () => void = () => undefined;
     const answer = new Promise<SlotReply>((resolve) => {
-      this.#reach(address, ({ gate }, reply) => {
-        if (givenUp) {
+      this.#deliver(address, ({ gate }, reply) => {
+        if (cancelled) {
           return;
         }
-        const ticket = gate.requestSlot(request, (said) => {
+        const ticket = gate.requestSlot(request, (slotReply) => {
           reply(() => {
-            resolve(said);
+            resolve(slotReply);
           });
         });
         withdraw = () => {
@@ -72,8 +72,8 @@
     return {
       answer,
       giveUp: () => {
-        givenUp = true;
-        this.#reach(address, () => {
+        cancelled = true;
+        this.#deliver(address, () => {
           withdraw();
         });
       },
@@ -83,13 +83,13 @@
   /** Asks another sidecar for leave to retry; false where it has no room, or is down. */
   borrow(address: string, costs: readonly RetryCost[]): Promise<boolean> {
     return new Promise((resolve) => {
-      this.#deps.clock.after(LOAN_SILENCE_MS, () => {
+      this.#deps.clock.after(BORROW_TIMEOUT_MS, () => {
         resolve(false);
       });
-      this.#reach(address, ({ budgets }, reply) => {
-        const isGiven = budgets.lend(costs);
+      this.#deliver(address, ({ budgets }, reply) => {
+        const isGranted = budgets.lend(costs);
         reply(() => {
-          resolve(isGiven);
+          resolve(isGranted);
         });
       });
     });
@@ -97,16 +97,16 @@
 
   run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult> {
     const answer = new Promise<ForwardResult>((resolve, reject) => {
-      const onDown = () => {
+      const onUnreachable = () => {
         reject(new Error("ECONNREFUSED"));
       };
-      this.#reach(
+      this.#deliver(
         address,
         ({ runner }, reply) => {
           const run = runner.run(req, () => this.#targetRequest(req));
-          this.#answer(run, reply, onAlive, resolve);
+          this.#replyWithResult(run, reply, onAlive, resolve);
         },
-        onDown,
+        onUnreachable,
       );
     });
     return { answer, giveUp: () => undefined };
@@ -114,17 +114,17 @@
 
   join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
     const answer = new Promise<ForwardResult>((resolve) => {
-      this.#reach(address, ({ runner }, reply) => {
-        this.#answer(endOf(runner.state(grant), grant), reply, onAlive, resolve);
+      this.#deliver(address, ({ runner }, reply) => {
+        this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onAlive, resolve);
       });
     });
     return { answer, giveUp: () => undefined };
   }
 
   /** Answers once a run has ended, and signals until then that it is alive. */
-  #answer(
+  #replyWithResult(
     run: Promise<ForwardResult>,
-    reply: (act: () => void) => void,
+    reply: (callback: () => void) => void,
     onAlive: () => void,
     resolve: (result: ForwardResult) => void,
   ): void {
@@ -132,7 +132,7 @@
     const signal = () => {
       if (!ended) {
         reply(onAlive);
-        this.#deps.clock.after(ALIVE_MS, signal);
+        this.#deps.clock.after(KEEPALIVE_MS, signal);
       }
     };
     signal();
@@ -161,37 +161,37 @@
   /**
    * Has a message arrive at a sidecar, whose replies come back for as long as it is there.
    *
-   * @param onDown what is seen of one that is down; left out, nothing
+   * @param onUnreachable what is seen of one that is down; left out, nothing
    */
-  #reach(
+  #deliver(
     address: string,
-    arrive: (there: SimSidecar, reply: (act: () => void) => void) => void,
-    onDown: () => void = () => undefined,
+    handle: (peer: SimSidecar, reply: (callback: () => void) => void) => void,
+    onUnreachable: () => void = () => undefined,
   ): void {
     const { sidecars, clock } = this.#deps;
-    const way = this.#wayTo(address);
-    clock.after(way, () => {
-      const there = sidecars.get(address);
-      if (!there) {
-        clock.after(way, onDown);
+    const latencyMs = this.#latencyTo(address);
+    clock.after(latencyMs, () => {
+      const peer = sidecars.get(address);
+      if (!peer) {
+        clock.after(latencyMs, onUnreachable);
         return;
       }
-      arrive(there, (act) => {
-        if (sidecars.get(address) === there) {
-          clock.after(way, act);
+      handle(peer, (callback) => {
+        if (sidecars.get(address) === peer) {
+          clock.after(latencyMs, callback);
         }
       });
     });
   }
 
-  #wayTo(address: string): number {
-    const { sidecars, zone, zoneMs } = this.#deps;
-    const there = sidecars.get(address)?.vm.zone;
-    return HANDLING_MS + (there === zone ? 0 : zoneMs);
+  #latencyTo(address: string): number {
+    const { sidecars, zone, zoneLatencyMs } = this.#deps;
+    const peerZone = sidecars.get(address)?.vm.zone;
+    return HANDLING_MS + (peerZone === zone ? 0 : zoneLatencyMs);
   }
 }
 
-function endOf(state: RunState, { target }: GrantRef): Promise<ForwardResult> {
+function resultOf(state: RunState, { target }: GrantRef): Promise<ForwardResult> {
   if (state.kind === "running" || state.kind === "ended") {
     return Promise.resolve(state.result);
   }
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -29,10 +29,10 @@
 import type { Variant } from "./Variant.ts";
 
 /** How a planned stop goes, as on the users' platform, ms. */
-const STOP = { callersMs: 2700, endsInMs: 5300 };
+const STOP_TIMES = { callersMs: 2700, endsInMs: 5300 };
 
 /** How often a stop looks whether its callers' requests are answered, ms. */
-const ANSWERED_CHECK_MS = 20;
+const IN_FLIGHT_CHECK_MS = 20;
 
 const log = bunyan.createLogger({ name: "experiment", level: "fatal" });
 
@@ -47,15 +47,15 @@
 interface SimSidecarDeps {
   readonly vm: SimVm;
   /** Tells one life of the process from another, counted from 1. */
-  readonly life: number;
-  readonly zoneMs: number;
+  readonly incarnationNumber: number;
+  readonly zoneLatencyMs: number;
   readonly budget: RetryBudgetRule;
   /** The sidecars that there are now, by their VMs' names. */
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
   /** Has the target work on a request. */
-  readonly work: (req: TargetRequest) => Promise<ForwardResult>;
+  readonly runAtTarget: (req: TargetRequest) => Promise<ForwardResult>;
   /** Told when the target is thought of otherwise. */
-  readonly onJudged: (load: GateLoad) => void;
+  readonly onHealthChange: (load: GateLoad) => void;
   /** Tells the others that this one is going. */
   readonly onLeaving: () => void;
   readonly variant: Variant;
@@ -79,17 +79,17 @@
 
   constructor(deps: SimSidecarDeps) {
     this.#deps = deps;
-    const { vm, clock, random, zoneMs, sidecars } = deps;
+    const { vm, clock, random, zoneLatencyMs, sidecars } = deps;
     const zone = ZoneName(zoneOf(vm));
-    this.#grants = new GrantIds(String(deps.life));
-    this.#table = this.#openTable();
+    this.#grants = new GrantIds(String(deps.incarnationNumber));
+    this.#table = this.#createTable();
     const runs = new ActiveRuns(clock);
-    this.budgets = this.#openBudgets();
-    this.gate = this.#openGate(runs);
-    this.runner = this.#openRunner(runs);
+    this.budgets = this.#createBudgets();
+    this.gate = this.#createGate(runs);
+    this.runner = this.#createRunner(runs);
     this.policy = new AdaptivePolicy({ table: this.#table, zone, clock, random });
-    this.hop = new SimHop({ sidecars, zone: vm.zone, zoneMs, clock });
-    this.#dispatcher = this.#openDispatcher(runs);
+    this.hop = new SimHop({ sidecars, zone: vm.zone, zoneLatencyMs, clock });
+    this.#dispatcher = this.#createDispatcher(runs);
   }
 
   get vm(): SimVm {
@@ -102,13 +102,13 @@
   }
 
   /** Takes in what is told of members. */
-  hear(members: readonly ProtoTypes["Member"][]): void {
+  mergeMembers(members: readonly ProtoTypes["Member"][]): void {
     this.#table.merge(members);
   }
 
   /** What it tells the others of itself. */
-  describe(isGone: boolean): ProtoTypes["Member"] {
-    const { vm, life } = this.#deps;
+  describeMember(isGone: boolean): ProtoTypes["Member"] {
+    const { vm, incarnationNumber } = this.#deps;
     const target = {
       target_id: vm.name,
       service: vm.service,
@@ -124,7 +124,7 @@
       hop_address: vm.name,
       zone: zoneOf(vm),
       revision: isGone ? 1 : 0,
-      incarnation: life,
+      incarnation: incarnationNumber,
       gone: isGone,
       control: false,
       stopping: false,
@@ -148,7 +148,7 @@
     this.#isReady = false;
     const parts = {
       beginStop: () => undefined,
-      closeCallers: () => this.#answered(),
+      closeCallers: () => this.#waitForCallers(),
       refuseWaiting: () => {
         this.#dispatcher.close();
       },
@@ -158,30 +158,30 @@
         return Promise.resolve();
       },
     };
-    await drainSidecar(parts, STOP, clock, log);
+    await drainSidecar(parts, STOP_TIMES, clock, log);
   }
 
-  async #answered(): Promise<void> {
+  async #waitForCallers(): Promise<void> {
     const { clock } = this.#deps;
     while (this.#inFlight > 0) {
-      await new Promise<void>((resolve) => clock.after(ANSWERED_CHECK_MS, resolve));
+      await new Promise<void>((resolve) => clock.after(IN_FLIGHT_CHECK_MS, resolve));
     }
   }
 
-  #openTable(): TargetTable {
-    const { vm, clock, life } = this.#deps;
+  #createTable(): TargetTable {
+    const { vm, clock, incarnationNumber } = this.#deps;
     const own = {
       id: SidecarId(`self-${vm.name}`),
       peerAddress: `self-${vm.name}`,
       hopAddress: "none",
       zone: ZoneName(zoneOf(vm)),
-      incarnation: life,
+      incarnation: incarnationNumber,
     };
     return new TargetTable(own, () => clock.now());
   }
 
-  #openGate(runs: ActiveRuns): Gate {
-    const { vm, clock, onJudged, variant } = this.#deps;
+  #createGate(runs: ActiveRuns): Gate {
+    const { vm, clock, onHealthChange, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
       target: () => ({ slots: vm.slots, takesWork: true }),
@@ -189,52 +189,52 @@
       waitsForCall: (since) => runs.hasOpenCall(since),
       clock,
       grants: this.#grants,
-      onJudged,
+      onJudged: onHealthChange,
       ...variant.gate,
     });
   }
 
-  #openRunner(here: ActiveRuns): TargetRunner {
-    const { vm, clock, work } = this.#deps;
+  #createRunner(activeRuns: ActiveRuns): TargetRunner {
+    const { vm, clock, runAtTarget } = this.#deps;
     const id = TargetId(vm.name);
     return new TargetRunner({
       gates: { get: () => this.gate },
       runs: new RunTable(clock),
-      here,
+      here: activeRuns,
       target: () => this.#table.target(id),
-      send: (_target, req) => work(req),
+      send: (_target, req) => runAtTarget(req),
       grants: this.#grants,
       log,
     });
   }
 
-  #openDispatcher(runs: ActiveRuns): Dispatcher {
+  #createDispatcher(runs: ActiveRuns): Dispatcher {
     const { vm, clock } = this.#deps;
     return new Dispatcher({
       policy: this.policy,
       hop: this.hop,
       callerService: vm.service,
       budgets: this.budgets,
-      borrower: this.#openLoans(),
+      borrower: this.#createTokenBorrower(),
       calls: new TrafficClassifier({ runs, log }),
       clock,
       log,
     });
   }
 
-  #openBudgets(): RetryBudgets {
-    const { clock, budget, life, random } = this.#deps;
+  #createBudgets(): RetryBudgets {
+    const { clock, budget, incarnationNumber, random } = this.#deps;
     return new RetryBudgets({
       rule: () => budget,
       members: () => this.#table.knownCount,
       clock,
       // A fleet that is played from its midst has been up for long; lives that follow begin with what they know.
-      startedAt: life === 1 ? -Infinity : clock.now(),
+      startedAt: incarnationNumber === 1 ? -Infinity : clock.now(),
       random,
     });
   }
 
-  #openLoans(): RetryTokenBorrower {
+  #createTokenBorrower(): RetryTokenBorrower {
     const { vm, sidecars, random } = this.#deps;
     const lenders = () =>
       [...sidecars.values()]
--- a/experiment/Tally.ts
+++ b/experiment/Tally.ts
@@ -1,12 +1,12 @@
 import { groupBy } from "./groupBy.ts";
-import type { LoadKind } from "./Scenario.ts";
+import type { RequestKind } from "./Scenario.ts";
 
 /** How one caller's request ended. */
-export interface Ended {
-  readonly kind: LoadKind;
+export interface EndedRequest {
+  readonly kind: RequestKind;
   readonly startedAt: number;
   readonly endedAt: number;
-  readonly end: "served" | "refused" | "failed";
+  readonly outcome: "served" | "refused" | "failed";
 }
 
 /** Width of the windows of which the worst are reported, ms. */
@@ -37,9 +37,9 @@
 
 /** Counts what callers got. */
 export class Tally {
-  readonly #ended: Ended[] = [];
+  readonly #ended: EndedRequest[] = [];
 
-  add(ended: Ended): void {
+  add(ended: EndedRequest): void {
     this.#ended.push(ended);
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** Share of the requests for `service` sent from `fromMs` to `untilMs` that were not served. */
-  unserved(service: string, fromMs: number, untilMs: number): number {
+  unservedShare(service: string, fromMs: number, untilMs: number): number {
     const sent = this.#ended.filter(
       ({ kind, startedAt }) =>
         kind.service === service && fromMs <= startedAt && startedAt < untilMs,
@@ -62,51 +62,51 @@
     const byWindow = groupBy(this.#ended, (e) => Math.floor(e.startedAt / WINDOW_MS));
     return [...byWindow.entries()]
       .sort(([a], [b]) => a - b)
-      .map(([n, list]) => ({ from: n * WINDOW_MS, worth: worthOf(list) }));
+      .map(([n, list]) => ({ from: n * WINDOW_MS, worth: creditShare(list) }));
   }
 
   figures(): Figures {
     const all = this.#ended;
-    const refused = all.filter((e) => e.end === "refused");
-    const held = refused.reduce((sum, e) => sum + e.endedAt - e.startedAt, 0);
+    const refused = all.filter((e) => e.outcome === "refused");
+    const refusedMs = refused.reduce((sum, e) => sum + e.endedAt - e.startedAt, 0);
     const worst = this.windows()
       .map((w) => w.worth)
       .sort((a, b) => a - b)
       .slice(0, 2);
     const kinds = groupBy(all, (e) => e.kind.name);
-    const byKind = Object.fromEntries([...kinds].map(([name, list]) => [name, worthOf(list)]));
+    const byKind = Object.fromEntries([...kinds].map(([name, list]) => [name, creditShare(list)]));
     const worstWindows = worst.reduce((sum, w) => sum + w, 0) / Math.max(1, worst.length);
     const unserved = Math.max(BEST_UNSERVED, 1 - share(all, "served"));
     return {
       goal:
-        0.35 * worthOf(all) +
+        0.35 * creditShare(all) +
         0.15 * worstWindows +
         0.15 * Math.min(...Object.values(byKind)) +
         (0.35 * Math.log(unserved)) / Math.log(BEST_UNSERVED),
       served: share(all, "served"),
-      worth: worthOf(all),
+      worth: creditShare(all),
       worst: worstWindows,
       refused: share(all, "refused"),
       failed: share(all, "failed"),
-      refusedAfterMs: held / Math.max(1, refused.length),
+      refusedAfterMs: refusedMs / Math.max(1, refused.length),
       byKind,
     };
   }
 }
 
-function share(list: readonly Ended[], end: Ended["end"]): number {
-  return list.filter((e) => e.end === end).length / Math.max(1, list.length);
+function share(list: readonly EndedRequest[], outcome: EndedRequest["outcome"]): number {
+  return list.filter((e) => e.outcome === outcome).length / Math.max(1, list.length);
 }
 
-function worthOf(list: readonly Ended[]): number {
-  const owed = list.reduce((sum, e) => sum + e.kind.worth[0], 0);
+function creditShare(list: readonly EndedRequest[]): number {
+  const maxCredit = list.reduce((sum, e) => sum + e.kind.credit[0], 0);
   const earned = list.reduce((sum, e) => sum + creditOf(e), 0);
-  return owed > 0 ? earned / owed : 1;
+  return maxCredit > 0 ? earned / maxCredit : 1;
 }
 
-function creditOf({ kind, startedAt, endedAt, end }: Ended): number {
-  if (end !== "served") {
+function creditOf({ kind, startedAt, endedAt, outcome }: EndedRequest): number {
+  if (outcome !== "served") {
     return 0;
   }
-  return endedAt - startedAt <= kind.objectiveMs ? kind.worth[0] : kind.worth[1];
+  return endedAt - startedAt <= kind.objectiveMs ? kind.credit[0] : kind.credit[1];
 }
--- a/experiment/checkLoad.ts
+++ b/experiment/checkLoad.ts
@@ -10,19 +10,19 @@
 /** Plays a load by the product's rules and by strict priority, and holds the means over `seeds` to what callers are to get. */
 export async function checkLoad(
   t: ExecutionContext,
-  { scenario, served, worstKind: credit, beatsPriority }: PolicyLoad,
+  { scenario, minServed, minWorstKindCredit, beatsPriority }: PolicyLoad,
   seeds: readonly number[],
 ): Promise<void> {
-  const product = await play(scenario, "product", seeds);
-  const before = await play(scenario, "strict priority", seeds);
-  t.log(`served ${mean(before, (f) => f.served)} -> ${mean(product, (f) => f.served)}`);
-  t.log(`worst kind ${mean(before, worstKind)} -> ${mean(product, worstKind)}`);
-  t.true(mean(product, (f) => f.served) >= served);
-  t.is(mean(product, (f) => f.served) > mean(before, (f) => f.served), beatsPriority);
-  t.true(mean(product, worstKind) >= credit);
+  const product = await simulate(scenario, "product", seeds);
+  const strictPriority = await simulate(scenario, "strict priority", seeds);
+  t.log(`served ${mean(strictPriority, (f) => f.served)} -> ${mean(product, (f) => f.served)}`);
+  t.log(`worst kind ${mean(strictPriority, worstKind)} -> ${mean(product, worstKind)}`);
+  t.true(mean(product, (f) => f.served) >= minServed);
+  t.is(mean(product, (f) => f.served) > mean(strictPriority, (f) => f.served), beatsPriority);
+  t.true(mean(product, worstKind) >= minWorstKindCredit);
 }
 
-async function play(
+async function simulate(
   scenarioName: string,
   variantName: string,
   seeds: readonly number[],
@@ -35,7 +35,7 @@
       throw new Error(`no ${scenarioName} or ${variantName}`);
     }
     const fleet = new SimFleet(scenario, variant, new SimClock(), seededRandom(seed));
-    await fleet.play();
+    await fleet.run();
     runs.push(fleet.tally.figures());
   }
   return runs;
--- a/experiment/main.ts
+++ b/experiment/main.ts
@@ -13,13 +13,13 @@
 for (const scenario of scenarios.filter((s) => only === undefined || s.name === only)) {
   for (const variant of variants.filter((v) => (onlyVariant ?? v.name) === v.name)) {
     const runs: Figures[] = [];
-    let asks = 0;
+    let slotRequests = 0;
     for (let seed = 1; seed <= Number(seeds); seed++) {
       const clock = new SimClock();
       const fleet = new SimFleet(scenario, variant, clock, seededRandom(seed));
-      await fleet.play();
+      await fleet.run();
       runs.push(fleet.tally.figures());
-      asks += fleet.asks / fleet.tally.count;
+      slotRequests += fleet.slotRequests / fleet.tally.count;
     }
     const mean = (pick: (f: Figures) => number) =>
       runs.reduce((sum, f) => sum + pick(f), 0) / runs.length;
@@ -31,8 +31,8 @@
       scenario.name.padEnd(14),
       variant.name.padEnd(20),
       cells.join("  "),
-      `asks ${(asks / runs.length).toFixed(2)}`,
-      `held ${mean((f) => f.refusedAfterMs).toFixed(0)} ms`,
+      `slot requests ${(slotRequests / runs.length).toFixed(2)}`,
+      `refused after ${mean((f) => f.refusedAfterMs).toFixed(0)} ms`,
       kinds.join("  "),
     );
   }
--- a/experiment/promises.test.ts
+++ b/experiment/promises.test.ts
@@ -1,6 +1,6 @@
 import test from "ava";
 import { seededRandom } from "../test/fixtures/seededRandom.ts";
-import type { LoadKind, Scenario } from "./Scenario.ts";
+import type { RequestKind, Scenario } from "./Scenario.ts";
 import { scenarios } from "./scenarios.ts";
 import { SimClock } from "./SimClock.ts";
 import { SimFleet } from "./SimFleet.ts";
@@ -17,18 +17,18 @@
 const UNSERVED = { from: 0.1, to: 0.5 };
 
 /** A target counts as sound once it has been well for this long before the window, ms. */
-const SOUND_FOR_MS = 2000;
+const HEALTHY_FOR_MS = 2000;
 
 /** How often windows are looked at, ms. */
 const STEP_MS = 500;
 
 /** From this chance to fail on, a target gets nothing but what tells whether it is well again. */
-const HOPELESS = 0.75;
+const PROBES_ONLY_RISK = 0.75;
 
 /** Requests that tell that, a second: one in 300 ms where requests wait for want of room, and some at once when one went well. */
-const MOST_PROBES = 8;
+const MAX_PROBES_PER_SECOND = 8;
 
-const named = (name: string): Scenario => {
+const scenarioNamed = (name: string): Scenario => {
   const scenario = scenarios.find((s) => s.name === name);
   if (!scenario) {
     throw new Error(`no scenario ${name}`);
@@ -36,27 +36,27 @@
   return scenario;
 };
 
-const atRate = (kinds: readonly LoadKind[], times: number) =>
-  kinds.map((k) => ({ ...k, perSecond: k.perSecond * times }));
+const scaleRates = (kinds: readonly RequestKind[], factor: number) =>
+  kinds.map((k) => ({ ...k, perSecond: k.perSecond * factor }));
 
-async function play(scenario: Scenario, seed: number): Promise<SimFleet> {
+async function simulate(scenario: Scenario, seed: number): Promise<SimFleet> {
   const fleet = new SimFleet(scenario, { name: "product" }, new SimClock(), seededRandom(seed));
-  await fleet.play();
+  await fleet.run();
   return fleet;
 }
 
 /** The share of sound targets in use, in the worst window in which too little of a service was served. */
-function leastInUse(fleet: SimFleet, { services, lengthMs }: Scenario) {
-  let worst = { share: 1, service: "", fromMs: 0, sound: 0, unserved: 0 };
+function lowestShareInUse(fleet: SimFleet, { services, lengthMs }: Scenario) {
+  let worst = { share: 1, service: "", fromMs: 0, healthy: 0, unserved: 0 };
   for (const { name: service } of services) {
-    for (let fromMs = SOUND_FOR_MS; fromMs + WINDOW_MS <= lengthMs; fromMs += STEP_MS) {
+    for (let fromMs = HEALTHY_FOR_MS; fromMs + WINDOW_MS <= lengthMs; fromMs += STEP_MS) {
       const untilMs = fromMs + WINDOW_MS;
-      const unserved = fleet.tally.unserved(service, fromMs, untilMs);
-      const sound = fleet.sound(service, fromMs - SOUND_FOR_MS, untilMs);
-      const reached = fleet.arrivals.reached(service, fromMs, untilMs);
-      const share = sound.filter((t) => reached.has(t)).length / Math.max(1, sound.length);
+      const unserved = fleet.tally.unservedShare(service, fromMs, untilMs);
+      const healthy = fleet.healthyTargets(service, fromMs - HEALTHY_FOR_MS, untilMs);
+      const reached = fleet.arrivals.targetsReached(service, fromMs, untilMs);
+      const share = healthy.filter((t) => reached.has(t)).length / Math.max(1, healthy.length);
       if (unserved > UNSERVED.from && unserved < UNSERVED.to && share < worst.share) {
-        worst = { share, service, fromMs, sound: sound.length, unserved };
+        worst = { share, service, fromMs, healthy: healthy.length, unserved };
       }
     }
   }
@@ -69,14 +69,14 @@
     // targets got nothing for seconds. A sidecar that is stopped lives on for its callers, for 5 s and
     // more, but shut the way to its target with the signal. Cause: the shutdown closed first what is needed longest.
     const scenario = {
-      ...named("lab stops"),
+      ...scenarioNamed("lab stops"),
       lengthMs: 22_000,
-      noise: undefined,
-      kinds: atRate(named("lab stops").kinds, 1.35),
-      stops: [{ fromMs: 6000, count: 24, gapMs: 200 }],
+      randomGray: undefined,
+      kinds: scaleRates(scenarioNamed("lab stops").kinds, 1.35),
+      stops: [{ fromMs: 6000, count: 24, intervalMs: 200 }],
     };
-    const fleet = await play(scenario, seed);
-    const worst = leastInUse(fleet, scenario);
+    const fleet = await simulate(scenario, seed);
+    const worst = lowestShareInUse(fleet, scenario);
     t.log(worst);
     t.true(worst.share >= FLOOR_SHARE);
   });
@@ -86,17 +86,19 @@
     // work, failed when the call failed; their sidecars held that against their own targets, which had failed
     // nothing by themselves, and ejected one after the other: 27 to 46 times in these 20 s.
     const scenario = {
-      ...named("lab stops"),
+      ...scenarioNamed("lab stops"),
       lengthMs: 20_000,
-      noise: undefined,
-      ownErrors: 0,
+      randomGray: undefined,
+      baseErrorRate: 0,
       stops: [],
-      spells: [{ service: "reports", count: 2, fromMs: 6000, forMs: 8000, fails: 0.9 }],
+      grayPeriods: [
+        { service: "reports", count: 2, fromMs: 6000, durationMs: 8000, failureRate: 0.9 },
+      ],
     };
-    const { ejections } = await play(scenario, seed);
+    const { ejections } = await simulate(scenario, seed);
     t.true(ejections.some((e) => e.service === "reports"));
     t.deepEqual(
-      ejections.filter((e) => e.wasSound),
+      ejections.filter((e) => e.wasHealthy),
       [],
     );
   });
@@ -106,12 +108,12 @@
     // failed nine in ten, and yet had 39 and 55 bookings run there in a second: asks that had found no better target, when
     // the first failure had just been seen, stayed in line, and were not weighed again when more was known.
     const scenario = {
-      ...named("listings short"),
-      kinds: atRate(named("listings short").kinds, 1.15),
+      ...scenarioNamed("listings short"),
+      kinds: scaleRates(scenarioNamed("listings short").kinds, 1.15),
     };
-    const worst = (await play(scenario, seed)).arrivals.mostAtRisk(HOPELESS);
+    const worst = (await simulate(scenario, seed)).arrivals.worstRiskySecond(PROBES_ONLY_RISK);
     t.log(worst);
-    t.true(worst.count <= MOST_PROBES);
+    t.true(worst.count <= MAX_PROBES_PER_SECOND);
   });
 
   test(`budget: repeats at a service, with the calls of repeated runs, stay within it (seed ${seed})`, async (t) => {
@@ -119,15 +121,22 @@
     // turned gray. Checks were sent again, and made their calls to the booking service again. These came on top of its own
     // repeats: 221 extra arrivals in ten seconds where 215 were allowed.
     const scenario = {
-      ...named("busy"),
+      ...scenarioNamed("busy"),
       lengthMs: 30_000,
-      noise: undefined,
-      spells: [
-        { service: "hire-book", count: 8, fromMs: 10_000, forMs: 10_000, fails: 0, sheds: 0.55 },
-        { service: "fleet-desk", count: 4, fromMs: 10_000, forMs: 10_000, fails: 0.6 },
+      randomGray: undefined,
+      grayPeriods: [
+        {
+          service: "hire-book",
+          count: 8,
+          fromMs: 10_000,
+          durationMs: 10_000,
+          failureRate: 0,
+          shedRate: 0.55,
+        },
+        { service: "fleet-desk", count: 4, fromMs: 10_000, durationMs: 10_000, failureRate: 0.6 },
       ],
     };
-    const fleet = await play(scenario, seed);
+    const fleet = await simulate(scenario, seed);
     for (const { name } of scenario.services) {
       const use = fleet.arrivals.worstWindow(name, fleet.budget);
       t.log(use);
--- a/experiment/scenarios.ts
+++ b/experiment/scenarios.ts
@@ -1,7 +1,7 @@
-import type { LoadKind, Scenario } from "./Scenario.ts";
+import type { RequestKind, Scenario } from "./Scenario.ts";
 
 /** Glenbrae's kinds of request, at `share` of their full rate. */
-const glenbrae = (share: number): LoadKind[] => [
+const glenbrae = (share: number): RequestKind[] => [
   {
     name: "availability-check",
     service: "fleet-desk",
@@ -11,8 +11,8 @@
     workMs: 480,
     objectiveMs: 1500,
     deadlineMs: 8000,
-    worth: [1, 0.3],
-    calls: { kind: "hire-ledger-read", times: 2, share: 0.7 },
+    credit: [1, 0.3],
+    nestedCalls: { kind: "hire-ledger-read", count: 2, share: 0.7 },
   },
   {
     name: "booking-confirm",
@@ -23,8 +23,8 @@
     workMs: 370,
     objectiveMs: 1500,
     deadlineMs: 5000,
-    worth: [2, 0.6],
-    calls: { kind: "unit-log-read", times: 1, share: 0.7 },
+    credit: [2, 0.6],
+    nestedCalls: { kind: "unit-log-read", count: 1, share: 0.7 },
   },
   {
     name: "trace-report",
@@ -35,13 +35,13 @@
     workMs: 300,
     objectiveMs: 1500,
     deadlineMs: 10_000,
-    worth: [1, 0.3],
+    credit: [1, 0.3],
   },
   call("hire-ledger-read", "hire-book", 93),
   call("unit-log-read", "cold-trace", 93),
 ];
 
-function call(name: string, service: string, workMs: number): LoadKind {
+function call(name: string, service: string, workMs: number): RequestKind {
   return {
     name,
     service,
@@ -51,7 +51,7 @@
     workMs,
     objectiveMs: 400,
     deadlineMs: 1200,
-    worth: [0, 0],
+    credit: [0, 0],
   };
 }
 
@@ -62,13 +62,13 @@
     slots: 4,
   })),
   zones: 4,
-  zoneMs: 0.9,
-  noise: { share: 0.3, spellMs: 12_000, fails: 0.85 },
+  zoneLatencyMs: 0.9,
+  randomGray: { share: 0.3, meanMs: 12_000, failureRate: 0.85 },
   lengthMs: 32_000,
 };
 
 /** Holmgaard's kinds of request, at `share` of their full rate. */
-const holmgaard = (share: number): LoadKind[] => [
+const holmgaard = (share: number): RequestKind[] => [
   {
     name: "parcel-view",
     service: "listings",
@@ -78,8 +78,8 @@
     workMs: 350,
     objectiveMs: 1500,
     deadlineMs: 6000,
-    worth: [1, 0.3],
-    calls: { kind: "soil-lookup", times: 1, share: 0.7 },
+    credit: [1, 0.3],
+    nestedCalls: { kind: "soil-lookup", count: 1, share: 0.7 },
   },
   {
     name: "lease-offer",
@@ -90,7 +90,7 @@
     workMs: 460,
     objectiveMs: 1500,
     deadlineMs: 5000,
-    worth: [2, 0.6],
+    credit: [2, 0.6],
   },
   {
     name: "map-upload",
@@ -101,7 +101,7 @@
     workMs: 430,
     objectiveMs: 1500,
     deadlineMs: 12_000,
-    worth: [2, 0.6],
+    credit: [2, 0.6],
   },
   { ...call("soil-lookup", "fieldmaps", 90), objectiveMs: 300 },
 ];
@@ -112,8 +112,8 @@
     { name: "fieldmaps", targets: 6, slots: 5 },
   ],
   zones: 3,
-  zoneMs: 0.5,
-  noise: { share: 0.3, spellMs: 9000, fails: 0.85 },
+  zoneLatencyMs: 0.5,
+  randomGray: { share: 0.3, meanMs: 9000, failureRate: 0.85 },
   lengthMs: 32_000,
 };
 
@@ -126,7 +126,7 @@
 }
 
 /** The lab's kinds of request at one of its sizes, at `share` of their rate. */
-function labKinds(size: LabSize, share: number): LoadKind[] {
+function labKinds(size: LabSize, share: number): RequestKind[] {
   const [lookups, signoffs, reports] = size.perSecond;
   const [lookupMs, signoffMs, reportMs, callMs] = size.workMs;
   const [objectiveMs, reportObjectiveMs, callObjectiveMs] = size.objectiveMs;
@@ -142,8 +142,8 @@
       workMs: lookupMs,
       objectiveMs,
       deadlineMs: Math.min(deadlineMs, 10_000),
-      worth: [1, 0.1],
-      calls: { kind: "sample-status", times: 2, share: 0.7 },
+      credit: [1, 0.1],
+      nestedCalls: { kind: "sample-status", count: 2, share: 0.7 },
     },
     {
       name: "certificate-signoff",
@@ -154,8 +154,8 @@
       workMs: signoffMs,
       objectiveMs,
       deadlineMs,
-      worth: [2, 0.2],
-      calls: { kind: "report-index", times: 1, share: 0.7 },
+      credit: [2, 0.2],
+      nestedCalls: { kind: "report-index", count: 1, share: 0.7 },
     },
     {
       name: "trend-report",
@@ -166,7 +166,7 @@
       workMs: reportMs,
       objectiveMs: reportObjectiveMs,
       deadlineMs,
-      worth: [1, 0.1],
+      credit: [1, 0.1],
     },
     { ...call("sample-status", "certificates", callMs), ...callTimes },
     { ...call("report-index", "reports", callMs), ...callTimes },
@@ -174,7 +174,7 @@
 }
 
 /** The lab's kinds of request, at `share` of half their full rate. */
-const lab = (share: number): LoadKind[] =>
+const lab = (share: number): RequestKind[] =>
   labKinds(
     {
       perSecond: [21, 73, 7.5],
@@ -193,13 +193,13 @@
     { name: "reports", targets: 3, slots: 7 },
   ],
   zones: 4,
-  zoneMs: 1.4,
-  noise: { share: 0.3, spellMs: 9000, fails: 0.85 },
+  zoneLatencyMs: 1.4,
+  randomGray: { share: 0.3, meanMs: 9000, failureRate: 0.85 },
   lengthMs: 32_000,
 };
 
 /** The lab's kinds of request where it runs hundreds of VMs, at `share` of their full rate. */
-const labLarge = (share: number): LoadKind[] =>
+const labLarge = (share: number): RequestKind[] =>
   labKinds(
     {
       perSecond: [111, 380, 38.7],
@@ -219,8 +219,8 @@
     { name: "reports", targets: 16, slots: 6 },
   ],
   zones: 6,
-  zoneMs: 0.9,
-  noise: { share: 0.3, spellMs: 9000, fails: 0.9 },
+  zoneLatencyMs: 0.9,
+  randomGray: { share: 0.3, meanMs: 9000, failureRate: 0.9 },
   lengthMs: 16_000,
 };
 
@@ -232,7 +232,7 @@
     ...GLENBRAE,
     name: "burst",
     kinds: glenbrae(1),
-    bursts: [{ fromMs: 10_000, forMs: 5000, times: 1.7 }],
+    bursts: [{ fromMs: 10_000, durationMs: 5000, rateFactor: 1.7 }],
   },
   {
     // A configuration sends all bookings to the desk's targets, which are busy already.
@@ -246,9 +246,9 @@
     ...GLENBRAE,
     name: "gray majority",
     kinds: glenbrae(0.8),
-    spells: [
-      { service: "fleet-desk", count: 5, fromMs: 12_000, forMs: 6000, fails: 0.85 },
-      { service: "hire-book", count: 5, fromMs: 20_000, forMs: 6000, fails: 0.85 },
+    grayPeriods: [
+      { service: "fleet-desk", count: 5, fromMs: 12_000, durationMs: 6000, failureRate: 0.85 },
+      { service: "hire-book", count: 5, fromMs: 20_000, durationMs: 6000, failureRate: 0.85 },
     ],
   },
   { ...HOLMGAARD, name: "listings quiet", kinds: holmgaard(0.65) },
@@ -257,14 +257,16 @@
     ...HOLMGAARD,
     name: "listings burst",
     kinds: holmgaard(1.1),
-    bursts: [{ fromMs: 10_000, forMs: 4000, times: 1.6 }],
+    bursts: [{ fromMs: 10_000, durationMs: 4000, rateFactor: 1.6 }],
   },
   {
     // For some seconds, most targets lose a third of their answers: there is no room without them.
     ...HOLMGAARD,
     name: "listings lossy",
     kinds: holmgaard(1),
-    spells: [{ service: "listings", count: 11, fromMs: 10_000, forMs: 6000, fails: 0.35 }],
+    grayPeriods: [
+      { service: "listings", count: 11, fromMs: 10_000, durationMs: 6000, failureRate: 0.35 },
+    ],
   },
   { ...LAB, name: "lab quiet", kinds: lab(0.8) },
   {
@@ -272,7 +274,7 @@
     ...LAB,
     name: "lab stops",
     kinds: lab(1),
-    stops: [{ fromMs: 10_000, count: 16, gapMs: 300 }],
+    stops: [{ fromMs: 10_000, count: 16, intervalMs: 300 }],
   },
   { ...LAB_LARGE, name: "large quiet", kinds: labLarge(0.7) },
   { ...LAB_LARGE, name: "large busy", kinds: labLarge(1.1) },
