--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -181,7 +181,7 @@
   }
 
   #createGate(runs: ActiveRuns): Gate {
-    const { vm, clock, onHealthChange, variant } = this.#deps;
+    const { vm, clock, onHealthChange: onJudged, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
       target: () => ({ slots: vm.slots, takesWork: true }),
@@ -189,7 +189,7 @@
       waitsForCall: (since) => runs.hasOpenCall(since),
       clock,
       grants: this.#grants,
-      onJudged: onHealthChange,
+      onJudged,
       ...variant.gate,
     });
   }
