--- a/experiment/Scenario.ts
+++ b/experiment/Scenario.ts
@@ -1,49 +1,49 @@
-/** One kind of request, and the calls that its targets make while they work on it. */
+/** A kind of request, and the nested calls that targets make while they run it. */
 export interface RequestKind {
   readonly name: string;
   readonly service: string;
   readonly idempotent: boolean;
   readonly priority: number;
-  /** Requests a second that callers send; 0 for calls that only targets make. */
+  /** Requests a second that callers send; 0 for nested calls, which only targets make. */
   readonly perSecond: number;
   readonly workMs: number;
   readonly objectiveMs: number;
   readonly deadlineMs: number;
-  /** What an answer in time is worth, and one after its objective. */
+  /** Credit for a response within `objectiveMs`, and for a later one. */
   readonly credit: readonly [inTime: number, late: number];
-  /** A kind of call that a share of its runs makes, so many times. */
+  /** Kind and number of the nested calls that a run makes, one after another, and the share of runs that make them. */
   readonly nestedCalls?: { readonly kind: string; readonly count: number; readonly share: number };
 }
 
-/** Targets of a service that fail most of what they are given for a while. */
+/** A period in which the first `count` targets of a service are gray: they fail, shed or slow down requests. */
 export interface GrayPeriod {
   readonly service: string;
   readonly count: number;
   readonly fromMs: number;
   readonly durationMs: number;
-  /** Share of requests that fail, at once. */
+  /** Share of requests that fail immediately. */
   readonly failureRate: number;
-  /** Share of requests that are refused, unrun, though there is room; none where it is left out. */
+  /** Share of requests that are refused without running, although slots are free; 0 by default. */
   readonly shedRate?: number;
-  /** Work takes this many times as long. */
+  /** Factor on the work time; 1 by default. */
   readonly slowdown?: number;
 }
 
-/** More requests than usual for a while. */
+/** A period with a higher request rate. */
 export interface Burst {
   readonly fromMs: number;
   readonly durationMs: number;
   readonly rateFactor: number;
 }
 
-/** Sidecars that are stopped as planned, one after the other, and started again. */
+/** Planned stops of `count` sidecars, `intervalMs` apart; each is started again afterwards. */
 export interface RollingStop {
   readonly fromMs: number;
   readonly count: number;
   readonly intervalMs: number;
 }
 
-/** A load on a fleet, and what goes wrong. */
+/** A simulated fleet, its load, and the faults that are injected. */
 export interface Scenario {
   readonly name: string;
   readonly services: readonly {
@@ -52,21 +52,21 @@
     readonly slots: number;
   }[];
   readonly zones: number;
-  /** Extras that the fleet's retry budget allows in a window besides its share; the small fleets' where it is left out. */
+  /** Extra requests that the fleet's retry budget allows in a window on top of its ratio; by default that of the small fleets. */
   readonly retrySlack?: number;
-  /** How many of the callers come in each zone, in proportion; evenly where it is left out. */
+  /** Relative number of callers in each zone; by default callers choose any ready sidecar with equal probability. */
   readonly zoneShares?: readonly number[];
-  /** One way between availability zones, ms. */
+  /** One-way latency between availability zones, ms. */
   readonly zoneLatencyMs: number;
   readonly kinds: readonly RequestKind[];
-  /** At any time this share of the targets is gray, in spells of random length, `spellMs` on average. */
+  /** At any time this share of the targets is gray, for periods of random length, `meanMs` on average. */
   readonly randomGray?: {
     readonly share: number;
     readonly meanMs: number;
     readonly failureRate: number;
   };
   readonly grayPeriods?: readonly GrayPeriod[];
-  /** Share of requests that sound targets fail by themselves; the users' where it is left out. */
+  /** Share of requests that healthy targets fail; by default as measured at the users' services. */
   readonly baseErrorRate?: number;
   readonly bursts?: readonly Burst[];
   readonly stops?: readonly RollingStop[];
