--- a/experiment/SimTarget.ts
+++ b/experiment/SimTarget.ts
@@ -1,34 +1,34 @@
 import type { Clock } from "../src/common/lifecycle/Clock.ts";
 
-/** What a simulated target does with one request: its call, or how it ends. */
+/** How a run at a simulated target ends; `call-failed` if one of its nested calls was not served. */
 type RunOutcome = "ok" | "failed" | "call-failed" | "shed";
 
-/** Share of requests that a sound target fails by itself, unless a scenario says otherwise; the users' services measure 12 in 1,000. */
+/** Default share of requests that a healthy target fails; the users' services measure 12 in 1,000. */
 const BASE_ERROR_RATE = 0.012;
 
-/** A gray target fails a request this fast, ms. */
+/** Time after which a gray target fails a request, ms. */
 const GRAY_FAILURE_MS = 1;
 
-/** Spread of work times: sigma of their logarithm. */
+/** Standard deviation of the logarithm of work times. */
 const WORK_TIME_SIGMA = 0.5;
 
-/** A spell during which it fails requests, refuses them, or is slow. */
+/** A period in which the target fails requests, sheds them, or is slow; times in ms. */
 interface GrayInterval {
   readonly from: number;
   readonly until: number;
   readonly failureRate: number;
-  /** Share of requests that it refuses, unrun. */
+  /** Share of requests that the target refuses without running them. */
   readonly shedRate: number;
   readonly slowdown: number;
 }
 
-/** A target as burdockpass sees one: takes time, has spells, makes calls. */
+/** A simulated target: runs take time, make nested calls, and may fail, more so in gray intervals. */
 export class SimTarget {
   readonly #clock: Clock;
   readonly #random: () => number;
   readonly #baseErrorRate: number;
   readonly #grayIntervals: GrayInterval[] = [];
-  /** How much faster or slower than the others it is, for good. */
+  /** Constant factor on this target's work times, which differs between targets. */
   readonly #workTimeFactor: number;
 
   constructor(clock: Clock, random: () => number, baseErrorRate = BASE_ERROR_RATE) {
@@ -38,17 +38,21 @@
     this.#workTimeFactor = 0.85 + 0.3 * random();
   }
 
-  /** Adds a time during which it is gray. */
+  /** Adds a period in which the target is gray. */
   addGrayInterval(interval: GrayInterval): void {
     this.#grayIntervals.push(interval);
   }
 
-  /** It is in no spell at any time from `from` to `until`. */
+  /** Whether no gray interval overlaps the time from `from` to `until`, ms. */
   isHealthy(from: number, until: number): boolean {
     return !this.#grayIntervals.some((i) => i.from < until && from < i.until);
   }
 
-  /** Works on one request; `call` makes the calls that the work needs, and tells whether they went well. */
+  /**
+   * Runs one request.
+   *
+   * @param makeNestedCalls called halfway through the work; resolves to whether all calls were served
+   */
   async run(workMs: number, makeNestedCalls: () => Promise<boolean>): Promise<RunOutcome> {
     const interval = this.#currentInterval;
     if (interval && this.#random() < interval.shedRate) {
@@ -79,7 +83,7 @@
   }
 }
 
-/** A factor around 1 with a long tail; its mean is 1. */
+/** A log-normally distributed factor with mean 1. */
 function logNormal(random: () => number): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random())) * Math.cos(2 * Math.PI * random());
   return Math.exp(WORK_TIME_SIGMA * normal - (WORK_TIME_SIGMA * WORK_TIME_SIGMA) / 2);
