--- a/experiment/SimClock.ts
+++ b/experiment/SimClock.ts
@@ -3,16 +3,16 @@
 
 interface Entry {
   readonly due: number;
-  /** Orders entries that are due at the same moment by when they were set. */
+  /** Sequence number: entries that are due at the same time run in the order in which they were set. */
   readonly order: number;
   readonly callback: () => void;
   cancelled: boolean;
 }
 
-/** Promise callbacks that wait on each other need as many turns of the microtask queue. */
+/** Turns of the microtask queue after each timer, so that chains of promise callbacks settle before the next one. */
 const MICROTASK_TURNS = 12;
 
-/** Simulated time: a heap of timers, run one after the other as fast as they come. */
+/** A simulated clock: timers are kept in a heap and run in order, without waiting for real time to pass. */
 export class SimClock implements Clock {
   #now = 0;
   #order = 0;
@@ -37,7 +37,7 @@
     };
   }
 
-  /** Runs until the simulated time is `until`, ms; promises settle between timers. */
+  /** Runs timers until the simulated time is `until`, ms; promises settle between timers. */
   async run(until: number): Promise<void> {
     for (;;) {
       const next = this.#heap[0];
