--- a/experiment/Arrivals.ts
+++ b/experiment/Arrivals.ts
@@ -1,16 +1,16 @@
-/** A request as it reached a target. */
+/** The arrival of a request at a target. */
 interface Arrival {
   readonly at: number;
   readonly service: string;
   readonly target: string;
   readonly idempotent: boolean;
-  /** The chance that the target fails it, as its sidecar knew it then. */
+  /** Probability that the target fails the request, as its sidecar estimated it at that time. */
   readonly risk: number;
-  /** The same request has reached a target before, or it is a call made by a run that repeats another. */
+  /** Whether the same request has reached a target before, or this is a nested call of a repeated run. */
   readonly isExtra: boolean;
 }
 
-/** Extra arrivals at a service in one window, and what the retry budget allows there. */
+/** Extra arrivals at a service in one window of the retry budget, and how many the budget allows. */
 export interface BudgetUse {
   readonly service: string;
   readonly fromMs: number;
@@ -18,30 +18,30 @@
   readonly allowed: number;
 }
 
-/** The retry budget of the whole fleet, as operators set it. */
+/** The retry budget of the whole fleet: `ratio` of the requests in a window of `windowMs`, plus `slack`. */
 interface FleetBudget {
   readonly ratio: number;
   readonly windowMs: number;
   readonly slack: number;
 }
 
-/** What the targets of a fleet see: which requests reach them, when, and how often. */
+/** Records which requests reach the targets of a fleet, when, and how often. */
 export class Arrivals {
   readonly #arrivals: Arrival[] = [];
   readonly #requests: { at: number; service: string }[] = [];
-  /** How often each request has reached a target. */
+  /** How many times each request has reached a target, by attempt id. */
   readonly #counts = new Map<string, number>();
 
-  /** Notes that a caller sends a request for `service`. */
+  /** Records that a caller sends a request for `service` at time `at`, ms. */
   recordRequest(service: string, at: number): void {
     this.#requests.push({ service, at });
   }
 
   /**
-   * Notes a request that reaches a target.
+   * Records a request that reaches a target.
    *
-   * @param isFromRepeatedRun it is a call made by a run that repeats another
-   * @returns whether it is extra
+   * @param isFromRepeatedRun whether it is a nested call of a repeated run
+   * @returns whether the arrival is extra
    */
   recordArrival(
     attempt: string,
@@ -55,7 +55,7 @@
     return isExtra;
   }
 
-  /** Targets of `service` that a request has reached from `fromMs` to `untilMs`. */
+  /** Targets of `service` that a request reached from `fromMs` until before `untilMs`. */
   targetsReached(service: string, fromMs: number, untilMs: number): Set<string> {
     const within = this.#arrivals.filter(
       (a) => a.service === service && fromMs <= a.at && a.at < untilMs,
@@ -64,8 +64,9 @@
   }
 
   /**
-   * Requests without another try that reach one target in a second, at most, while its sidecar knows a chance to
-   * fail of `risk` and more. Those with one may: they tell whether it is well, and go there when no other is in reach.
+   * The largest number of non-idempotent requests that reach one target within a second while its sidecar estimates
+   * a failure probability of at least `risk`. Idempotent requests are not counted: they can be retried, so they serve as
+   * probes, and go to such a target when no other is available.
    */
   worstRiskySecond(risk: number): { target: string; fromMs: number; count: number } {
     const risky = this.#arrivals.filter((a) => !a.idempotent && a.risk >= risk);
@@ -78,7 +79,7 @@
     return bursts.reduce((worst, b) => (b.count > worst.count ? b : worst), none);
   }
 
-  /** The window in which `service` gets the most extras for what is allowed. */
+  /** The window in which the extra arrivals at `service` are the largest share of what the budget allows. */
   worstWindow(service: string, { ratio, windowMs, slack }: FleetBudget): BudgetUse {
     const extras = this.#arrivals.filter((a) => a.service === service && a.isExtra);
     const requests = this.#requests.filter((r) => r.service === service);
