--- a/experiment/Tally.ts
+++ b/experiment/Tally.ts
@@ -1,7 +1,7 @@
 import { groupBy } from "./groupBy.ts";
 import type { RequestKind } from "./Scenario.ts";
 
-/** How one caller's request ended. */
+/** A caller's request that has ended. */
 export interface EndedRequest {
   readonly kind: RequestKind;
   readonly startedAt: number;
@@ -9,33 +9,33 @@
   readonly outcome: "served" | "refused" | "failed";
 }
 
-/** Width of the windows of which the worst are reported, ms. */
+/** Length of the windows of which the two worst are reported, ms. */
 const WINDOW_MS = 2000;
 
-/** Unserved share at which the nines count in full: the users' best. */
+/** Unserved share, the users' best, at which the served share gets its full weight in {@link Figures.goal}. */
 const BEST_UNSERVED = 0.005;
 
-/** Figures of one run. */
+/** Results of one simulation run. */
 export interface Figures {
   /**
-   * All in one, as the users weigh them: 0.35 the whole credit, 0.15 the worst windows, 0.15 the
-   * worst-served kind, 0.35 the share served, counted in nines. Costs are not in it.
+   * Weighted total, with the users' weights: 0.35 credit of all requests, 0.15 credit in the worst windows, 0.15
+   * credit of the worst-served kind, 0.35 the share served, on a logarithmic scale (in nines). Costs are not included.
    */
   readonly goal: number;
   readonly served: number;
-  /** Credit earned over credit owed. */
+  /** Credit earned as a share of the maximum, which is earned if every response comes within its objective. */
   readonly worth: number;
-  /** The same in the worst two windows. */
+  /** Mean credit share of the two worst windows. */
   readonly worst: number;
   readonly refused: number;
   readonly failed: number;
-  /** How long refused callers were held, ms, on average. */
+  /** Mean time until a refused caller gets its response, ms. */
   readonly refusedAfterMs: number;
-  /** Credit by kind. */
+  /** Credit share by kind of request. */
   readonly byKind: Readonly<Record<string, number>>;
 }
 
-/** Counts what callers got. */
+/** Collects callers' requests that have ended, and computes the results of a run. */
 export class Tally {
   readonly #ended: EndedRequest[] = [];
 
@@ -43,12 +43,12 @@
     this.#ended.push(ended);
   }
 
-  /** Requests that have ended. */
+  /** Number of requests that have ended. */
   get count(): number {
     return this.#ended.length;
   }
 
-  /** Share of the requests for `service` sent from `fromMs` to `untilMs` that were not served. */
+  /** Share of the requests for `service` sent from `fromMs` until before `untilMs` that were not served. */
   unservedShare(service: string, fromMs: number, untilMs: number): number {
     const sent = this.#ended.filter(
       ({ kind, startedAt }) =>
@@ -57,7 +57,7 @@
     return sent.length === 0 ? 0 : 1 - share(sent, "served");
   }
 
-  /** Credit over time, a point a window: from when, and credit earned over owed. */
+  /** Credit share of each window of {@link WINDOW_MS}, in order of time; `from` is its start, ms. */
   windows(): { from: number; worth: number }[] {
     const byWindow = groupBy(this.#ended, (e) => Math.floor(e.startedAt / WINDOW_MS));
     return [...byWindow.entries()]
