--- a/experiment/Variant.ts
+++ b/experiment/Variant.ts
@@ -1,10 +1,10 @@
 import type { QueuedRequest } from "../src/sidecar/gate/QueuedRequest.ts";
 
-/** One way of deciding that the experiment compares; what is left out is as in the product. */
+/** A policy that the experiment compares; parts that are left out are the product's. */
 export interface Variant {
   readonly name: string;
   readonly gate?: {
-    /** Who has the next free slot of a target. */
+    /** Whether queued request `a` gets the next free slot before `b`. */
     readonly order: (a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number) => boolean;
   };
 }
--- a/experiment/groupBy.ts
+++ b/experiment/groupBy.ts
@@ -1,4 +1,4 @@
-/** Items by what `keyOf` gives for them, in the order in which keys are first seen. */
+/** Groups `items` by the key that `keyOf` returns; groups are in the order in which their keys first occur. */
 export function groupBy<T, K>(items: readonly T[], keyOf: (item: T) => K): Map<K, T[]> {
   const groups = new Map<K, T[]>();
   for (const item of items) {
--- a/experiment/main.ts
+++ b/experiment/main.ts
@@ -5,7 +5,7 @@
 import type { Figures } from "./Tally.ts";
 import { variants } from "./variants.ts";
 
-// Compares ways of deciding on the same loads: `npm run experiment -- [SEEDS] [SCENARIO [VARIANT]]`.
+// Compares policies on the same loads: `npm run experiment -- [SEEDS] [SCENARIO [VARIANT]]`; SEEDS is the number of seeds.
 const [seeds = "5", only, onlyVariant] = process.argv.slice(2);
 
 const columns = ["goal", "served", "worth", "worst", "refused", "failed"] as const;
--- a/experiment/variants.ts
+++ b/experiment/variants.ts
@@ -3,7 +3,7 @@
 
 const objectiveAt = ({ request, askedAt }: QueuedRequest) => askedAt + request.objectiveMs;
 
-/** Strict priority, then by due date while that can be met. */
+/** Strict priority; within a priority, earliest objective first among requests that can still meet theirs. */
 function byPriority(a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number): boolean {
   if (a.request.priority !== b.request.priority) {
     return a.request.priority < b.request.priority;
@@ -15,10 +15,10 @@
   return lateA ? a.askedAt < b.askedAt : objectiveAt(a) < objectiveAt(b);
 }
 
-/** In the order in which they came, as a target's own queue would have it. */
+/** First come, first served, as in a queue at the target itself. */
 const byArrival = (a: QueuedRequest, b: QueuedRequest) => a.askedAt < b.askedAt;
 
-/** What is compared. */
+/** The policies that the experiment compares. */
 export const variants: readonly Variant[] = [
   { name: "product" },
   { name: "first come", gate: { order: byArrival } },
