--- a/experiment/POLICY_LOADS.ts
+++ b/experiment/POLICY_LOADS.ts
@@ -1,15 +1,15 @@
-/** What callers are to get of one load. */
+/** What callers must get under one load. */
 export interface PolicyLoad {
   readonly scenario: string;
-  /** Share of the callers served, at least. */
+  /** Minimum share of requests served. */
   readonly minServed: number;
-  /** Credit of the worst-served kind of request, at least. */
+  /** Minimum credit share of the worst-served kind of request. */
   readonly minWorstKindCredit: number;
-  /** More are served than by strict priority. */
+  /** Whether the product serves more requests than strict priority does. */
   readonly beatsPriority: boolean;
 }
 
-/** Loads on which the product's order of those in line is held against strict priority. */
+/** Loads under which the order of the product's admission queue is compared with strict priority. */
 export const POLICY_LOADS: readonly PolicyLoad[] = [
   { scenario: "busy", minServed: 0.94, minWorstKindCredit: 0.9, beatsPriority: true },
   { scenario: "burst", minServed: 0.925, minWorstKindCredit: 0.84, beatsPriority: true },
--- a/experiment/checkLoad.ts
+++ b/experiment/checkLoad.ts
@@ -7,7 +7,10 @@
 import type { Figures } from "./Tally.ts";
 import { variants } from "./variants.ts";
 
-/** Plays a load by the product's rules and by strict priority, and holds the means over `seeds` to what callers are to get. */
+/**
+ * Simulates a load with the product's policy and with strict priority, and checks that the product's means over `seeds`
+ * reach the load's minimums.
+ */
 export async function checkLoad(
   t: ExecutionContext,
   { scenario, minServed, minWorstKindCredit, beatsPriority }: PolicyLoad,
@@ -32,7 +35,7 @@
   const runs: Figures[] = [];
   for (const seed of seeds) {
     if (!scenario || !variant) {
-      throw new Error(`no ${scenarioName} or ${variantName}`);
+      throw new Error(`no scenario "${scenarioName}" or no variant "${variantName}"`);
     }
     const fleet = new SimFleet(scenario, variant, new SimClock(), seededRandom(seed));
     await fleet.run();
--- a/experiment/policies.test.ts
+++ b/experiment/policies.test.ts
@@ -2,7 +2,7 @@
 import { checkLoad } from "./checkLoad.ts";
 import { POLICY_LOADS } from "./POLICY_LOADS.ts";
 
-// What callers get of a load, by the product's order of those in line and against strict priority.
+// Guards the share of requests served under each load against changes to the order of the admission queue.
 
 const SEEDS = [1, 2];
 
