--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -18,41 +18,43 @@
 import { Tally } from "./Tally.ts";
 import type { Variant } from "./Variant.ts";
 
-/** A route's time and retry rules, as the users' operators set them. */
+/** Attempts of a request, the fleet's retry budget and the services' floor, as the users' operators set them. */
 const ATTEMPTS = 2;
 const RETRY_BUDGET = { ratio: 0.2, windowMs: 10_000, slack: 58 } as const;
 const FLOOR = 0.49;
 
-/** Time that news of a target takes to all origins, ms. */
+/** Delay until all sidecars know a change of a target's load or health, ms. */
 const LOAD_UPDATE_MS = 2;
 
-/** Time that news of a member takes to all others, ms. */
+/** Delay until a membership update has reached all members by gossip, ms. */
 const GOSSIP_MS = 200;
 
-/** From the end of a process to the start of its next life, and from there until its target has announced itself, ms. */
+/** Time from the end of a sidecar's process to its next start, and from there until its target has announced itself, ms. */
 const RESTART_MS = 1100;
 const ANNOUNCE_MS = 350;
 
-/** Runs that began in a spell have ended this long after it, ms. */
+/** By this time after a gray interval, all runs that started in it have ended, ms. */
 const AFTER_GRAY_MS = 2000;
 
-/** A target found gray. */
+/** An ejection of a target. */
 interface Ejection {
   readonly at: number;
   readonly service: string;
-  /** It was wrong: the target is in no spell, and has not been for a while. */
+  /** Whether the ejection was wrong: the target has not been in a gray interval for {@link AFTER_GRAY_MS}. */
   readonly wasHealthy: boolean;
 }
 
-/** Who sends a request: a caller, or a target that makes a call. */
+/** The sender of a request: a caller, or a target that makes a nested call. */
 interface Caller {
+  /** Name of the VM whose sidecar gets the request. */
   readonly from: string;
+  /** Whether the request is a nested call of a repeated run. */
   readonly isRepeatedRun: boolean;
-  /** Made by a target in the midst of a run. */
+  /** Whether the request is made by a target during a run. */
   readonly isNestedCall: boolean;
 }
 
-/** A fleet in one process: the product's own decisions, around simulated targets, network and time. */
+/** A simulated fleet in one process: the product's own policies with simulated targets, network and time. */
 export class SimFleet {
   readonly #scenario: Scenario;
   readonly #variant: Variant;
@@ -65,7 +67,7 @@
   readonly #arrivals = new Arrivals();
   readonly #ejected = new Set<string>();
   readonly #ejections: Ejection[] = [];
-  /** Lives of each VM's sidecar so far. */
+  /** Number of incarnations of each VM's sidecar so far. */
   readonly #incarnations = new Map<string, number>();
   #attemptCount = 0;
   #slotRequests = 0;
@@ -98,12 +100,12 @@
     });
   }
 
-  /** What the targets have seen. */
+  /** Requests that have reached the targets. */
   get arrivals(): Arrivals {
     return this.#arrivals;
   }
 
-  /** Targets found gray so far. */
+  /** Ejections of targets so far. */
   get ejections(): readonly Ejection[] {
     return this.#ejections;
   }
@@ -113,7 +115,7 @@
     return { ...RETRY_BUDGET, slack: this.#scenario.retrySlack ?? RETRY_BUDGET.slack };
   }
 
-  /** Asks for slots made so far. */
+  /** Number of slot requests sent so far. */
   get slotRequests(): number {
     return [...this.#sidecars.values()].reduce(
       (sum, s) => sum + s.hop.slotRequests,
@@ -121,13 +123,13 @@
     );
   }
 
-  /** Targets of `service` that are in no spell from `fromMs` to `untilMs`. */
+  /** Names of the targets of `service` that are in no gray interval from `fromMs` to `untilMs`. */
   healthyTargets(service: string, fromMs: number, untilMs: number): string[] {
     const names = this.#vms.filter((vm) => vm.service === service).map((vm) => vm.name);
     return names.filter((name) => this.#targets.get(name)?.isHealthy(fromMs, untilMs));
   }
 
-  /** Plays the load to its end, and until every request has ended. */
+  /** Runs the load to its end, and until every request has ended. */
   async run(): Promise<void> {
     const { kinds, lengthMs } = this.#scenario;
     kinds
@@ -182,13 +184,13 @@
     }
   }
 
-  /** The target has been in no spell for so long that nothing it did in one can be told of it now. */
+  /** Whether the target has been in no gray interval for so long that no run from one can affect its health state now. */
   #wasRecentlyHealthy(name: string): boolean {
     const now = this.#clock.now();
     return this.#targets.get(name)?.isHealthy(now - AFTER_GRAY_MS, now) ?? false;
   }
 
-  /** Tells every origin what is thought of a target; the product tells those that have asked it lately. */
+  /** Sends a target's load and health to every sidecar; the product sends them only to recent requesters. */
   #broadcastLoad({ name }: SimVm, load: GateLoad): void {
     this.#clock.after(LOAD_UPDATE_MS, () => {
       for (const { policy } of this.#sidecars.values()) {
@@ -257,7 +259,7 @@
     }
   }
 
-  /** A random time, `mean` ms on average, that does not depend on how much of it has passed. */
+  /** A random time with an exponential distribution and a mean of `mean` ms. */
   #exponential(mean: number): number {
     return -Math.log(1 - this.#random()) * mean;
   }
@@ -293,7 +295,7 @@
     this.tally.add({ kind, startedAt, endedAt: this.#clock.now(), outcome });
   }
 
-  /** Where the next caller comes; undefined for anywhere. */
+  /** The zone of the next caller; undefined for any. */
   #pickCallerZone(): number | undefined {
     const { zoneShares: shares } = this.#scenario;
     let left = this.#random() * (shares ?? []).reduce((sum, share) => sum + share, 0);
@@ -323,13 +325,13 @@
     return result?.verdict.kind === "done" && result.verdict.status < 500 ? "served" : "failed";
   }
 
-  /** A target works on a request, with the calls that its kind makes. */
+  /** Runs a request at the target of `vm`, with the nested calls of its kind. */
   async #runAtTarget(vm: SimVm, { words, deadlineAt }: TargetRequest): Promise<ForwardResult> {
     const { attempt } = words;
     const kind = this.#kinds.get(attempt.split("/")[0] ?? "");
     const target = this.#targets.get(vm.name);
     if (!kind || !target) {
-      throw new Error(`no kind of ${attempt}, or no target ${vm.name}`);
+      throw new Error(`unknown kind of request in ${attempt}, or unknown target ${vm.name}`);
     }
     const risk = this.#sidecars.get(vm.name)?.gate.load.risk ?? 0;
     const { idempotent } = kind;
@@ -370,10 +372,10 @@
   }
 }
 
-/** Ends the id of a call that is made by a run which repeats another; the product does not read it. */
+/** Suffix of the attempt id of a nested call that a repeated run makes; the product does not read it. */
 const REPEAT_MARK = "+";
 
-/** How a run that was not refused ends: the status of its answer, and what it says of the target. */
+/** The end of a run that was not refused: the response's status, and the outcome that the health detector gets. */
 type RunEnding = readonly [status: number, outcome: AttemptOutcome];
 
 const OK: RunEnding = [200, AttemptOutcome.Ok];
