--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -13,27 +13,27 @@
 import type { RetryCost } from "../src/sidecar/routing/RetryCost.ts";
 import type { SimSidecar } from "./SimSidecar.ts";
 
-/** A signal that a request is alive comes this often, ms; as between real sidecars. */
+/** Interval of the signals that a run is still in progress, ms; as between real sidecars. */
 const KEEPALIVE_MS = 300;
 
-/** What it takes a sidecar to handle a message, ms. Assumed: with 0.9 ms between zones it makes a round trip of 2 to 4 ms. */
+/** Assumed time that a sidecar needs to handle a message, ms; with 0.9 ms between zones, a round trip takes 2 to 4 ms. */
 const HANDLING_MS = 1;
 
-/** One that is asked for leave to retry and does not answer is passed over after this long, ms. */
+/** Time to wait for the reply to a request for a retry token, ms; no reply counts as a refusal. */
 const BORROW_TIMEOUT_MS = 40;
 
 interface SimHopDeps {
-  /** The sidecars that there are now, by their VMs' names. */
+  /** The sidecars that are running now, by the names of their VMs. */
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
   readonly zone: number;
   readonly zoneLatencyMs: number;
   readonly clock: Clock;
 }
 
-/** The way from one simulated sidecar to the others: a delay each way; what is sent to one that is down is lost. */
+/** Simulated connections from a sidecar to the others: messages are delayed each way, and lost if the receiver is down. */
 export class SimHop implements HopLink {
   readonly #deps: SimHopDeps;
-  /** Asks made so far. */
+  /** Number of slot requests sent so far. */
   slotRequests = 0;
 
   constructor(deps: SimHopDeps) {
@@ -80,7 +80,7 @@
     };
   }
 
-  /** Asks another sidecar for leave to retry; false where it has no room, or is down. */
+  /** Borrows a retry token from another sidecar; resolves to false if its budget does not allow one, or if it is down. */
   borrow(address: string, costs: readonly RetryCost[]): Promise<boolean> {
     return new Promise((resolve) => {
       this.#deps.clock.after(BORROW_TIMEOUT_MS, () => {
@@ -121,7 +121,7 @@
     return { answer, giveUp: () => undefined };
   }
 
-  /** Answers once a run has ended, and signals until then that it is alive. */
+  /** Replies with the result of a run when it ends; until then, signals that the run is in progress. */
   #replyWithResult(
     run: Promise<ForwardResult>,
     reply: (callback: () => void) => void,
@@ -159,9 +159,9 @@
   }
 
   /**
-   * Has a message arrive at a sidecar, whose replies come back for as long as it is there.
+   * Delivers a message to a sidecar after the latency. Its replies are delivered as long as the same process is running.
    *
-   * @param onUnreachable what is seen of one that is down; left out, nothing
+   * @param onUnreachable called after a round trip if the sidecar is down; by default the message is lost without notice
    */
   #deliver(
     address: string,
