--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -28,15 +28,15 @@
 import { SimHop } from "./SimHop.ts";
 import type { Variant } from "./Variant.ts";
 
-/** How a planned stop goes, as on the users' platform, ms. */
+/** Times of a planned stop, as on the users' platform, ms. */
 const STOP_TIMES = { callersMs: 2700, endsInMs: 5300 };
 
-/** How often a stop looks whether its callers' requests are answered, ms. */
+/** Interval at which a planned stop checks whether all callers' requests have got responses, ms. */
 const IN_FLIGHT_CHECK_MS = 20;
 
 const log = bunyan.createLogger({ name: "experiment", level: "fatal" });
 
-/** A VM with a target and a sidecar, as the scenario has it. */
+/** A simulated VM with a target and its sidecar. */
 export interface SimVm {
   readonly name: string;
   readonly zone: number;
@@ -46,24 +46,24 @@
 
 interface SimSidecarDeps {
   readonly vm: SimVm;
-  /** Tells one life of the process from another, counted from 1. */
+  /** Number of this incarnation of the sidecar's process, from 1. */
   readonly incarnationNumber: number;
   readonly zoneLatencyMs: number;
   readonly budget: RetryBudgetRule;
-  /** The sidecars that there are now, by their VMs' names. */
+  /** The sidecars that are running now, by the names of their VMs. */
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
-  /** Has the target work on a request. */
+  /** Runs a request at the local target. */
   readonly runAtTarget: (req: TargetRequest) => Promise<ForwardResult>;
-  /** Told when the target is thought of otherwise. */
+  /** Called when the health state of the local target changes. */
   readonly onHealthChange: (load: GateLoad) => void;
-  /** Tells the others that this one is going. */
+  /** Called when the sidecar leaves the membership in a planned stop. */
   readonly onLeaving: () => void;
   readonly variant: Variant;
   readonly clock: SimClock;
   readonly random: () => number;
 }
 
-/** One life of a sidecar's process: the product's own decisions, put together as in the product. */
+/** One incarnation of a simulated sidecar: the product's own components, connected as in the product. */
 export class SimSidecar {
   readonly #deps: SimSidecarDeps;
   readonly #table: TargetTable;
@@ -96,17 +96,17 @@
     return this.#deps.vm;
   }
 
-  /** Callers may be sent here. */
+  /** Whether callers may send requests to this sidecar. */
   get isReady(): boolean {
     return this.#isReady;
   }
 
-  /** Takes in what is told of members. */
+  /** Merges membership updates into this sidecar's view. */
   mergeMembers(members: readonly ProtoTypes["Member"][]): void {
     this.#table.merge(members);
   }
 
-  /** What it tells the others of itself. */
+  /** This sidecar's own membership entry; with `isGone`, the one that announces its end. */
   describeMember(isGone: boolean): ProtoTypes["Member"] {
     const { vm, incarnationNumber } = this.#deps;
     const target = {
@@ -132,7 +132,7 @@
     };
   }
 
-  /** Serves a request of a caller, or a call of the target beside it. */
+  /** Serves a caller's request, or a nested call of the local target. */
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     this.#inFlight += 1;
     try {
@@ -142,7 +142,7 @@
     }
   }
 
-  /** A planned stop; resolves when the process has ended. */
+  /** Stops the sidecar as planned; resolves when the process would exit. */
   async stop(): Promise<void> {
     const { clock, onLeaving } = this.#deps;
     this.#isReady = false;
@@ -194,13 +194,13 @@
     });
   }
 
-  #createRunner(activeRuns: ActiveRuns): TargetRunner {
+  #createRunner(here: ActiveRuns): TargetRunner {
     const { vm, clock, runAtTarget } = this.#deps;
     const id = TargetId(vm.name);
     return new TargetRunner({
       gates: { get: () => this.gate },
       runs: new RunTable(clock),
-      here: activeRuns,
+      here,
       target: () => this.#table.target(id),
       send: (_target, req) => runAtTarget(req),
       grants: this.#grants,
@@ -228,7 +228,7 @@
       rule: () => budget,
       members: () => this.#table.knownCount,
       clock,
-      // A fleet that is played from its midst has been up for long; lives that follow begin with what they know.
+      // The simulation starts with a fleet that has long been running; later incarnations start with an empty history.
       startedAt: incarnationNumber === 1 ? -Infinity : clock.now(),
       random,
     });
