--- a/experiment/scenarios.ts
+++ b/experiment/scenarios.ts
@@ -1,6 +1,6 @@
 import type { RequestKind, Scenario } from "./Scenario.ts";
 
-/** Glenbrae's kinds of request, at `share` of their full rate. */
+/** Kinds of request of the customer Glenbrae, at `share` of their full rate. */
 const glenbrae = (share: number): RequestKind[] => [
   {
     name: "availability-check",
@@ -67,7 +67,7 @@
   lengthMs: 32_000,
 };
 
-/** Holmgaard's kinds of request, at `share` of their full rate. */
+/** Kinds of request of the customer Holmgaard, at `share` of their full rate. */
 const holmgaard = (share: number): RequestKind[] => [
   {
     name: "parcel-view",
@@ -117,7 +117,7 @@
   lengthMs: 32_000,
 };
 
-/** What differs between the lab's sizes: rates a second, work times and objectives of its kinds of request, ms. */
+/** What differs between the two sizes of the lab: requests a second, and work times, objectives and deadlines in ms. */
 interface LabSize {
   readonly perSecond: readonly [lookups: number, signoffs: number, reports: number];
   readonly workMs: readonly [lookups: number, signoffs: number, reports: number, calls: number];
@@ -125,7 +125,7 @@
   readonly deadlineMs: readonly [own: number, calls: number];
 }
 
-/** The lab's kinds of request at one of its sizes, at `share` of their rate. */
+/** The lab's kinds of request for one size, at `share` of that size's rates. */
 function labKinds(size: LabSize, share: number): RequestKind[] {
   const [lookups, signoffs, reports] = size.perSecond;
   const [lookupMs, signoffMs, reportMs, callMs] = size.workMs;
@@ -185,7 +185,7 @@
     share,
   );
 
-/** The lab at half its size: few targets of the service that all sign-offs call. */
+/** The lab at half its size, with few targets of the reports service, which sign-offs call. */
 const LAB = {
   services: [
     { name: "results", targets: 14, slots: 7 },
@@ -198,7 +198,7 @@
   lengthMs: 32_000,
 };
 
-/** The lab's kinds of request where it runs hundreds of VMs, at `share` of their full rate. */
+/** The lab's kinds of request in a fleet of hundreds of VMs, at `share` of their full rate. */
 const labLarge = (share: number): RequestKind[] =>
   labKinds(
     {
@@ -210,7 +210,7 @@
     share,
   );
 
-/** The lab with hundreds of VMs, of which few keep the reports that all sign-offs call. */
+/** The lab with hundreds of VMs, few of which run the reports service, which sign-offs call. */
 const LAB_LARGE = {
   retrySlack: 430,
   services: [
@@ -224,7 +224,7 @@
   lengthMs: 16_000,
 };
 
-/** Loads to compare policies on: a quiet day, and those on which most is lost. */
+/** The loads of the experiment: a light load for each fleet, and those under which most requests are lost. */
 export const scenarios: readonly Scenario[] = [
   { ...GLENBRAE, name: "quiet", kinds: glenbrae(0.6) },
   { ...GLENBRAE, name: "busy", kinds: glenbrae(1) },
@@ -235,7 +235,7 @@
     bursts: [{ fromMs: 10_000, durationMs: 5000, rateFactor: 1.7 }],
   },
   {
-    // A configuration sends all bookings to the desk's targets, which are busy already.
+    // A configuration change routes all bookings to the fleet-desk targets, which already have their own load.
     ...GLENBRAE,
     name: "moved",
     kinds: glenbrae(0.6).map((k) =>
@@ -260,7 +260,7 @@
     bursts: [{ fromMs: 10_000, durationMs: 4000, rateFactor: 1.6 }],
   },
   {
-    // For some seconds, most targets lose a third of their answers: there is no room without them.
+    // For 6 s, 11 of 18 targets fail a third of their requests; the other 7 do not have enough slots for the load.
     ...HOLMGAARD,
     name: "listings lossy",
     kinds: holmgaard(1),
@@ -270,7 +270,7 @@
   },
   { ...LAB, name: "lab quiet", kinds: lab(0.8) },
   {
-    // A third of the sidecars is stopped in turn, and started again.
+    // A third of the sidecars is stopped one after another, and started again.
     ...LAB,
     name: "lab stops",
     kinds: lab(1),
@@ -279,14 +279,14 @@
   { ...LAB_LARGE, name: "large quiet", kinds: labLarge(0.7) },
   { ...LAB_LARGE, name: "large busy", kinds: labLarge(1.1) },
   {
-    // Some zones have twice the callers of others, and no more targets.
+    // Some zones have twice as many callers as others, but no more targets.
     ...LAB_LARGE,
     name: "large uneven",
     zoneShares: [1.4, 0.7, 1, 1.3, 1.2, 0.6],
     kinds: labLarge(1),
   },
   {
-    // A third of the targets was taken away: sound ones have less room than callers need.
+    // A third of the targets is removed, so that the healthy ones have fewer slots than the load needs.
     ...HOLMGAARD,
     name: "listings short",
     services: [
