--- a/experiment/promises.test.ts
+++ b/experiment/promises.test.ts
@@ -7,25 +7,25 @@
 
 const SEEDS = [1, 2, 3];
 
-/** Share of a service's sound targets that must go on getting work where too little of it is served. */
+/** Minimum share of a service's healthy targets that must get requests while too many of its requests are not served. */
 const FLOOR_SHARE = 0.7;
 
-/** The floor counts in windows of this length, ms. */
+/** Length of the windows in which that share is measured, ms. */
 const WINDOW_MS = 2000;
 
-/** Too little is served where more than the first share of a service's requests is not, but under the second. */
+/** The share applies in windows in which the unserved share of a service's requests is between these two. */
 const UNSERVED = { from: 0.1, to: 0.5 };
 
-/** A target counts as sound once it has been well for this long before the window, ms. */
+/** A target counts as healthy if it has been in no gray interval for this long before the window, ms. */
 const HEALTHY_FOR_MS = 2000;
 
-/** How often windows are looked at, ms. */
+/** Interval between the starts of two windows, ms. */
 const STEP_MS = 500;
 
-/** From this chance to fail on, a target gets nothing but what tells whether it is well again. */
+/** From this failure probability on, a target must get only probes. */
 const PROBES_ONLY_RISK = 0.75;
 
-/** Requests that tell that, a second: one in 300 ms where requests wait for want of room, and some at once when one went well. */
+/** Maximum probes a second: one every 300 ms while requests wait for a slot, and a few at once after a successful one. */
 const MAX_PROBES_PER_SECOND = 8;
 
 const scenarioNamed = (name: string): Scenario => {
@@ -45,7 +45,7 @@
   return fleet;
 }
 
-/** The share of sound targets in use, in the worst window in which too little of a service was served. */
+/** The lowest share of a service's healthy targets that got requests in a window with too many unserved requests. */
 function lowestShareInUse(fleet: SimFleet, { services, lengthMs }: Scenario) {
   let worst = { share: 1, service: "", fromMs: 0, healthy: 0, unserved: 0 };
   for (const { name: service } of services) {
@@ -64,10 +64,10 @@
 }
 
 for (const seed of SEEDS) {
-  test(`floor: sound targets go on working while their sidecars are stopped in turn (seed ${seed})`, async (t) => {
-    // Story: in a rolling stop of a third of the fleet a tenth and more of the bookings was not served, while sound
-    // targets got nothing for seconds. A sidecar that is stopped lives on for its callers, for 5 s and
-    // more, but shut the way to its target with the signal. Cause: the shutdown closed first what is needed longest.
+  test(`floor: healthy targets keep getting requests during a rolling stop of their sidecars (seed ${seed})`, async (t) => {
+    // A sidecar that is stopped serves its callers for 5 s or more. When its shutdown closed the gate of its target at
+    // the signal, before anything else, healthy targets got no requests for seconds: in a rolling stop of a third of
+    // the fleet, a tenth or more of the bookings was not served.
     const scenario = {
       ...scenarioNamed("lab stops"),
       lengthMs: 22_000,
@@ -81,10 +81,10 @@
     t.true(worst.share >= FLOOR_SHARE);
   });
 
-  test(`detection: targets are not ejected for what their calls did (seed ${seed})`, async (t) => {
-    // Story: two of three targets of the reports' service turned gray. Sign-offs, whose targets call it in the midst of their
-    // work, failed when the call failed; their sidecars held that against their own targets, which had failed
-    // nothing by themselves, and ejected one after the other: 27 to 46 times in these 20 s.
+  test(`detection: targets are not ejected when only their nested calls fail (seed ${seed})`, async (t) => {
+    // Two of the three targets of the reports service turn gray. Sign-offs fail when their nested call to it fails. When
+    // the sidecars counted this as a failure of the local target, they ejected healthy targets one after another: 27 to
+    // 46 ejections in these 20 s.
     const scenario = {
       ...scenarioNamed("lab stops"),
       lengthMs: 20_000,
@@ -103,10 +103,10 @@
     );
   });
 
-  test(`gray targets: a line at a target that has turned gray does not go on running there (seed ${seed})`, async (t) => {
-    // Story: two booking targets turned gray while requests stood in line everywhere. Their sidecars knew that they
-    // failed nine in ten, and yet had 39 and 55 bookings run there in a second: asks that had found no better target, when
-    // the first failure had just been seen, stayed in line, and were not weighed again when more was known.
+  test(`gray targets: requests queued at a target that has turned gray do not keep running there (seed ${seed})`, async (t) => {
+    // Two booking targets turn gray while requests are queued at all targets. Their sidecars estimated a failure
+    // probability of 0.9, and still ran 39 and 55 bookings there in one second: slot requests that had found no better
+    // target just after the first failure stayed in the admission queue, and were not evaluated again after further ones.
     const scenario = {
       ...scenarioNamed("listings short"),
       kinds: scaleRates(scenarioNamed("listings short").kinds, 1.15),
@@ -116,10 +116,10 @@
     t.true(worst.count <= MAX_PROBES_PER_SECOND);
   });
 
-  test(`budget: repeats at a service, with the calls of repeated runs, stay within it (seed ${seed})`, async (t) => {
-    // Story: targets of the booking service refused half of what they got, while the desk's targets
-    // turned gray. Checks were sent again, and made their calls to the booking service again. These came on top of its own
-    // repeats: 221 extra arrivals in ten seconds where 215 were allowed.
+  test(`budget: retries at a service and nested calls of repeated runs together stay within the retry budget (seed ${seed})`, async (t) => {
+    // Targets of the booking service shed about half of their requests while fleet-desk targets are gray. Availability
+    // checks are retried, and a repeated run makes its nested calls to the booking service again. When these were not
+    // counted with that service's own retries, it got 221 extra arrivals in ten seconds, with 215 allowed.
     const scenario = {
       ...scenarioNamed("busy"),
       lengthMs: 30_000,
