--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -16,7 +16,7 @@
 /** Interval of the signals that a run is still in progress, ms; as between real sidecars. */
 const KEEPALIVE_MS = 300;
 
-/** Assumed time that a sidecar needs to handle a message, ms; with 0.9 ms between zones, a round trip takes 2 to 4 ms. */
+/** Assumed time to handle a message, ms; with 0.9 ms between zones, a round trip takes 2 to 4 ms. */
 const HANDLING_MS = 1;
 
 /** Time to wait for the reply to a request for a retry token, ms; no reply counts as a refusal. */
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -228,7 +228,7 @@
       rule: () => budget,
       members: () => this.#table.knownCount,
       clock,
-      // The simulation starts with a fleet that has long been running; later incarnations start with an empty history.
+      // The simulated fleet has long been running; later incarnations get no share of the retry slack for one window.
       startedAt: incarnationNumber === 1 ? -Infinity : clock.now(),
       random,
     });
