--- a/experiment/Scenario.ts
+++ b/experiment/Scenario.ts
@@ -52,7 +52,7 @@
     readonly slots: number;
   }[];
   readonly zones: number;
-  /** Extra requests that the fleet's retry budget allows in a window on top of its ratio; by default that of the small fleets. */
+  /** Relative number of callers in each zone; by default callers choose any ready sidecar at random. */
   readonly retrySlack?: number;
   /** Relative number of callers in each zone; by default callers choose any ready sidecar with equal probability. */
   readonly zoneShares?: readonly number[];
--- a/experiment/promises.test.ts
+++ b/experiment/promises.test.ts
@@ -116,7 +116,7 @@
     t.true(worst.count <= MAX_PROBES_PER_SECOND);
   });
 
-  test(`budget: retries at a service and nested calls of repeated runs together stay within the retry budget (seed ${seed})`, async (t) => {
+  test(`budget: retries and nested calls of repeated runs stay within the retry budget (seed ${seed})`, async (t) => {
     // Targets of the booking service shed about half of their requests while fleet-desk targets are gray. Availability
     // checks are retried, and a repeated run makes its nested calls to the booking service again. When these were not
     // counted with that service's own retries, it got 221 extra arrivals in ten seconds, with 215 allowed.
