--- a/experiment/Scenario.ts
+++ b/experiment/Scenario.ts
@@ -52,9 +52,9 @@
     readonly slots: number;
   }[];
   readonly zones: number;
-  /** Relative number of callers in each zone; by default callers choose any ready sidecar at random. */
+  /** Extra requests that the retry budget allows in a window on top of its ratio; by default that of the small fleets. */
   readonly retrySlack?: number;
-  /** Relative number of callers in each zone; by default callers choose any ready sidecar with equal probability. */
+  /** Relative number of callers in each zone; by default each ready sidecar is equally likely. */
   readonly zoneShares?: readonly number[];
   /** One-way latency between availability zones, ms. */
   readonly zoneLatencyMs: number;
