--- a/bench/detection.ts
+++ b/bench/detection.ts
@@ -1,9 +1,8 @@
 /**
- * Detection time and false ejections, ours against the naive baseline, side by
- * side in one run, for both customers' settings. Separate processes on
- * loopback: for each customer two fleets at the brief's sizes (Oljelab 11
- * instances of 5 slots, Glenbrae 8 of 4) under the same load. Prints a table.
- * Not a test: run with `npm run bench:detection` (about 5 minutes, on an otherwise idle machine).
+ * Compares detection time and false ejections of the adaptive policy with those of the naive baseline, for the settings
+ * of both customers. For each customer, two fleets of separate processes run at the same time on loopback under the
+ * same load, at the sizes that the customers gave (Oljelab: 11 instances with 5 slots, Glenbrae: 8 with 4). Prints a
+ * table. Not a test: run with `npm run bench:detection` (about 5 minutes, on an otherwise idle machine).
  */
 import { readFileSync } from "node:fs";
 import { join } from "node:path";
@@ -16,24 +15,24 @@
 const DOC = fileURLToPath(new URL("../config/demo.yaml", import.meta.url));
 const REPEATS = Number(process.env.BENCH_REPEATS ?? 3);
 const REQUESTS_PER_S = Number(process.env.BENCH_RATE ?? 200);
-const ONLY = process.env.BENCH_SCENARIOS?.split(",");
+const SCENARIO_NAMES = process.env.BENCH_SCENARIOS?.split(",");
 
 /** Work time of a lookup at a healthy stand-in, ms. */
 const WORK_MS = 40;
 
-/** Health endpoints follow the truth this much later, ms. */
+/** Delay after which health endpoints report a change of health, ms. */
 const HEALTH_LAG_MS = 2000;
 
-/** Pause between two onsets, ms. */
+/** Pause after each fault, before the next one, ms. */
 const REST_MS = 3000;
 
-/** An ejection this soon after a fault ends still belongs to it, ms. */
+/** An ejection within this time after the end of a fault is still attributed to it, ms. */
 const GRACE_MS = 1000;
 
-/** A gray target has gone quiet when nothing reaches it for this long, ms. */
+/** A gray target counts as detected at the start of the first gap in its arrivals that is at least this long, ms. */
 const QUIET_MS = 500;
 
-/** The same for one pair of sidecar and target, whose traffic is sparser, ms. */
+/** The same for requests from one sidecar to one target, which are less frequent, ms. */
 const QUIET_PAIR_MS = 3000;
 
 interface Customer {
@@ -42,7 +41,7 @@
   readonly path: string;
   readonly instances: number;
   readonly slots: number;
-  /** One-way time between zones, ms. */
+  /** One-way latency between availability zones, ms. */
   readonly netMs: number;
 }
 
@@ -65,8 +64,10 @@
   },
 ];
 
+/** A fault of a stand-in target; sent to it as JSON. */
 interface Fault {
   readonly mode: FaultMode;
+  /** Whether the target's health endpoint always reports healthy. */
   readonly lies?: boolean;
 }
 
@@ -75,17 +76,17 @@
   readonly durationMs: number;
   /** Faults of the gray targets, in order. */
   readonly gray: readonly Fault[];
-  /** Faults of targets that still serve well: ejecting one is a false ejection. */
-  readonly sound?: readonly Fault[];
-  /** The fault concerns one sidecar's path only. */
-  readonly onePath?: boolean;
+  /** Faults of targets that still serve requests normally: ejecting one is a false ejection. */
+  readonly healthy?: readonly Fault[];
+  /** Whether only requests from one sidecar are affected. */
+  readonly onSinglePath?: boolean;
   readonly coldStart?: boolean;
 }
 
 const scenarios: readonly Scenario[] = [
   { name: "slow 10x", durationMs: 6000, gray: [{ mode: FaultMode.Slow }] },
   {
-    // As gray failures are: a target that mixes answers up does not know it.
+    // As in real gray failures: a target that mixes up responses reports itself as healthy.
     name: "5% wrong answers",
     durationMs: 12000,
     gray: [{ mode: FaultMode.Wrong, lies: true }],
@@ -100,13 +101,13 @@
     name: "one-way partition",
     durationMs: 8000,
     gray: [{ mode: FaultMode.OneWay }],
-    onePath: true,
+    onSinglePath: true,
   },
   {
     name: "lying health",
     durationMs: 6000,
     gray: [{ mode: FaultMode.Slow, lies: true }],
-    sound: [{ mode: FaultMode.HealthBad }],
+    healthy: [{ mode: FaultMode.HealthBad }],
   },
   { name: "cold start", durationMs: 6000, gray: [], coldStart: true },
   {
@@ -116,16 +117,18 @@
   },
 ];
 
-/** What one policy did in one scenario, over all repeats. */
-interface Tally {
+/** Totals for one policy in one scenario, over all repeats. */
+interface ScenarioResult {
   readonly detection: hdr.Histogram;
+  /** Faults that were not detected while they lasted. */
   missed: number;
+  /** Requests that reached gray targets. */
   grayRequests: number;
   falseEjections: number;
   errors: number;
 }
 
-/** A fleet under steady load, with what its callers saw. */
+/** A fleet under a steady load; counts the errors that callers get. */
 class LoadedFleet {
   readonly fleet: LocalFleet;
   readonly policy: string;
@@ -173,13 +176,14 @@
     await this.fleet.stop();
   }
 
+  /** Sends a control request to the stand-in target `id`, and returns the JSON response. */
   async standIn(id: string, path: string, body?: object): Promise<unknown> {
     const port = this.fleet.targets.get(id)?.ports.http ?? 0;
     const init = body ? { method: "POST", body: JSON.stringify(body) } : {};
     return (await fetch(`http://127.0.0.1:${port}${path}`, init)).json();
   }
 
-  /** Every ejection that its sidecars have logged. */
+  /** All ejections that the fleet's sidecars have logged. */
   ejections(): { at: number; sidecar: string; target: string }[] {
     return this.ids.flatMap((id) => {
       const log = readFileSync(join(this.fleet.dir, `sidecar-${id}.log`), "utf8");
@@ -210,7 +214,7 @@
 
 const sleep = (ms: number) => new Promise((r) => setTimeout(r, ms));
 
-/** Ms from `onset` to the last arrival before the first gap of `quietMs`; undefined if none by `end`. */
+/** Time from `onset` to the last arrival before the first gap of `quietMs`, ms; undefined without such a gap by `end`. */
 function quietAfter(
   arrivals: readonly number[],
   onset: number,
@@ -227,54 +231,64 @@
   return undefined;
 }
 
-/** Plays one scenario once on one fleet, and adds what happened to `tally`. */
-async function play(run: LoadedFleet, s: Scenario, turn: number, tally: Tally): Promise<void> {
-  const at = (n: number) => run.ids[(turn + n * 3) % run.ids.length] ?? "";
-  const gray = s.gray.map((_, n) => at(n));
-  const sound = (s.sound ?? []).map((_, n) => at(s.gray.length + n));
-  const cutSidecar = at(5);
-  const errorsBefore = run.errors;
+/** Runs one scenario once on one fleet, and adds the outcome to `result`. */
+async function runScenario(
+  loaded: LoadedFleet,
+  s: Scenario,
+  round: number,
+  result: ScenarioResult,
+): Promise<void> {
+  const targetAt = (n: number) => loaded.ids[(round + n * 3) % loaded.ids.length] ?? "";
+  const gray = s.gray.map((_, n) => targetAt(n));
+  const healthy = (s.healthy ?? []).map((_, n) => targetAt(s.gray.length + n));
+  const pathSidecar = targetAt(5);
+  const errorsBefore = loaded.errors;
   const onset = Date.now();
   await Promise.all([
     ...s.gray.map((fault, n) =>
-      run.standIn(gray[n] ?? "", "/_standin/fault", { ...fault, via: `sidecar-${cutSidecar}` }),
+      loaded.standIn(gray[n] ?? "", "/_standin/fault", { ...fault, via: `sidecar-${pathSidecar}` }),
     ),
-    ...(s.sound ?? []).map((fault, n) => run.standIn(sound[n] ?? "", "/_standin/fault", fault)),
-    s.coldStart ? run.standIn(at(0), "/_standin/cold-start", {}) : undefined,
+    ...(s.healthy ?? []).map((fault, n) =>
+      loaded.standIn(healthy[n] ?? "", "/_standin/fault", fault),
+    ),
+    s.coldStart ? loaded.standIn(targetAt(0), "/_standin/cold-start", {}) : undefined,
   ]);
   await sleep(s.durationMs);
   const end = Date.now();
-  const touched = [...gray, ...sound];
+  const faulty = [...gray, ...healthy];
   await Promise.all(
-    touched.map((id) => run.standIn(id, "/_standin/fault", { mode: FaultMode.None })),
+    faulty.map((id) => loaded.standIn(id, "/_standin/fault", { mode: FaultMode.None })),
   );
   await sleep(REST_MS);
 
   for (const id of gray) {
-    const all = (await run.standIn(id, "/_standin/arrivals")) as { at: number; via: string }[];
-    const mine = s.onePath ? all.filter((a) => a.via.endsWith(`sidecar-${cutSidecar}`)) : all;
-    const times = mine.map((a) => a.at);
-    const found = quietAfter(times, onset, end, s.onePath ? QUIET_PAIR_MS : QUIET_MS);
-    tally.detection.recordValue(found ?? s.durationMs);
-    tally.missed += found === undefined ? 1 : 0;
-    tally.grayRequests += times.filter((t) => t >= onset && t < end).length;
+    const all = (await loaded.standIn(id, "/_standin/arrivals")) as { at: number; via: string }[];
+    const relevant = s.onSinglePath
+      ? all.filter((a) => a.via.endsWith(`sidecar-${pathSidecar}`))
+      : all;
+    const times = relevant.map((a) => a.at);
+    const detectionMs = quietAfter(times, onset, end, s.onSinglePath ? QUIET_PAIR_MS : QUIET_MS);
+    result.detection.recordValue(detectionMs ?? s.durationMs);
+    result.missed += detectionMs === undefined ? 1 : 0;
+    result.grayRequests += times.filter((t) => t >= onset && t < end).length;
   }
-  tally.falseEjections += run
+  result.falseEjections += loaded
     .ejections()
     .filter((e) => e.at >= onset && e.at < end + REST_MS)
     .filter((e) => {
-      const rightly = gray.includes(e.target) && (!s.onePath || e.sidecar === cutSidecar);
-      return !(rightly && e.at < end + GRACE_MS);
+      const isCorrect = gray.includes(e.target) && (!s.onSinglePath || e.sidecar === pathSidecar);
+      return !(isCorrect && e.at < end + GRACE_MS);
     }).length;
-  tally.errors += run.errors - errorsBefore;
+  result.errors += loaded.errors - errorsBefore;
 }
 
-function newTally(): Tally {
+function emptyResult(): ScenarioResult {
   const detection = hdr.build({ highestTrackableValue: 60_000, numberOfSignificantValueDigits: 3 });
   return { detection, missed: 0, grayRequests: 0, falseEjections: 0, errors: 0 };
 }
 
-function row(customer: Customer, s: Scenario, policy: string, t: Tally): string {
+/** A row of the printed table. */
+function row(customer: Customer, s: Scenario, policy: string, t: ScenarioResult): string {
   const onsets = t.detection.totalCount;
   const cells = [
     customer.name,
@@ -291,25 +305,27 @@
 }
 
 async function benchCustomer(customer: Customer): Promise<void> {
-  const runs = [new LoadedFleet(customer, "adaptive"), new LoadedFleet(customer, "naive")];
+  const fleets = [new LoadedFleet(customer, "adaptive"), new LoadedFleet(customer, "naive")];
   try {
-    for (const run of runs) {
-      await run.start();
+    for (const loaded of fleets) {
+      await loaded.start();
     }
     await sleep(5000);
-    let turn = 0;
-    for (const s of scenarios.filter((x) => !ONLY || ONLY.includes(x.name))) {
-      const tallies = runs.map(newTally);
+    let round = 0;
+    for (const s of scenarios.filter((x) => !SCENARIO_NAMES || SCENARIO_NAMES.includes(x.name))) {
+      const results = fleets.map(emptyResult);
       for (let i = 0; i < REPEATS; i++) {
-        turn += 1;
-        await Promise.all(runs.map((run, n) => play(run, s, turn, tallies[n] ?? newTally())));
+        round += 1;
+        await Promise.all(
+          fleets.map((loaded, n) => runScenario(loaded, s, round, results[n] ?? emptyResult())),
+        );
       }
-      runs.forEach((run, n) => {
-        console.log(row(customer, s, run.policy, tallies[n] ?? newTally()));
+      fleets.forEach((loaded, n) => {
+        console.log(row(customer, s, loaded.policy, results[n] ?? emptyResult()));
       });
     }
   } finally {
-    await Promise.all(runs.map((run) => run.stop()));
+    await Promise.all(fleets.map((loaded) => loaded.stop()));
   }
 }
 
