--- a/bench/capacity.ts
+++ b/bench/capacity.ts
@@ -1,10 +1,9 @@
 /**
- * Slopes for docs/CAPACITY.md: starts control and N sidecars on loopback
- * (no stand-in processes: the bench announces K fake targets to each
- * sidecar), lets gossip settle, then samples each sidecar's CPU, RSS and
- * control bytes over a window. Repeats for several N, then at the largest N
- * applies config changes and times accept → in force at every sidecar.
- * Not a test: `npm run bench:capacity`. Sizes by BENCH_SIZES (default 8,16,32,48).
+ * Measures how a sidecar's costs grow with the size of the fleet, for docs/CAPACITY.md. Starts control replicas and N
+ * sidecars on loopback (without stand-ins: the bench announces {@link TARGETS_PER_SIDECAR} fake targets to each
+ * sidecar), lets gossip settle, then samples each sidecar's CPU time, RSS and control bytes over a window. Repeats this
+ * for several N; at the last N, it also applies configuration changes and measures the time from acceptance until they
+ * are in force at every sidecar. Not a test: `npm run bench:capacity`. BENCH_SIZES sets the sizes (default 8,16,32,48).
  */
 import { readFileSync } from "node:fs";
 import { join } from "node:path";
@@ -15,12 +14,17 @@
 
 const SIZES = (process.env.BENCH_SIZES ?? "8,16,32,48").split(",").map(Number);
 const TARGETS_PER_SIDECAR = 8;
+/** Time for gossip to settle before a measurement, ms. */
 const SETTLE_MS = 6000;
+
+/** Length of a measurement, ms. */
 const WINDOW_MS = 10_000;
 const CHANGES = Number(process.env.BENCH_CHANGES ?? 30);
+/** Clock ticks a second in /proc/PID/stat (USER_HZ). */
 const TICKS_PER_S = 100;
 const DOC = readFileSync(fileURLToPath(new URL("../config/demo.yaml", import.meta.url)), "utf8");
 
+/** Totals of one sidecar's process at one time: CPU in seconds, the others in bytes. */
 interface Sample {
   cpuS: number;
   rssB: number;
@@ -28,6 +32,7 @@
   configB: number;
 }
 
+/** CPU time (user + system) and resident memory of process `pid`, from /proc. */
 function procStat(pid: number): { cpuS: number; rssB: number } {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
@@ -36,7 +41,8 @@
   return { cpuS: ticks / TICKS_PER_S, rssB: rssPages * 4096 };
 }
 
-async function bytes(adminPort: number): Promise<{ gossip: number; config: number }> {
+/** Bytes of gossip and configuration traffic that a sidecar has counted, from its metrics. */
+async function controlBytes(adminPort: number): Promise<{ gossip: number; config: number }> {
   const text = await (await fetch(`http://127.0.0.1:${adminPort}/metrics`)).text();
   const read = (kind: string) =>
     Number(
@@ -45,16 +51,17 @@
   return { gossip: read("gossip"), config: read("config") };
 }
 
-async function sample(fleet: LocalFleet): Promise<Sample[]> {
+async function sampleSidecars(fleet: LocalFleet): Promise<Sample[]> {
   return Promise.all(
     [...fleet.sidecars.values()].map(async (s) => {
       const p = procStat(s.proc.pid ?? 0);
-      const b = await bytes(s.ports.admin ?? 0);
+      const b = await controlBytes(s.ports.admin ?? 0);
       return { cpuS: p.cpuS, rssB: p.rssB, gossipB: b.gossip, configB: b.config };
     }),
   );
 }
 
+/** Announces the fake targets of every sidecar to its admin API. */
 function announceAll(fleet: LocalFleet): void {
   for (const [id, s] of fleet.sidecars) {
     for (let k = 0; k < TARGETS_PER_SIDECAR; k++) {
@@ -78,14 +85,14 @@
 const quantile = (xs: number[], q: number) =>
   [...xs].sort((a, b) => a - b)[Math.min(xs.length - 1, Math.floor(q * xs.length))] ?? 0;
 
-/** One line of the membership table: what a sidecar costs with this many of them. */
+/** Measures the mean costs of a sidecar in a fleet of this size, and prints them as a row of the table. */
 async function measureMembership(fleet: LocalFleet): Promise<void> {
   const n = fleet.sidecars.size;
   await sleep(SETTLE_MS);
-  const before = await sample(fleet);
+  const before = await sampleSidecars(fleet);
   const t0 = Date.now();
   await sleep(WINDOW_MS);
-  const after = await sample(fleet);
+  const after = await sampleSidecars(fleet);
   const seconds = (Date.now() - t0) / 1000;
   const perS = (of: (s: Sample) => number) =>
     mean(after.map((x, i) => (of(x) - of(before[i] ?? x)) / seconds));
@@ -102,7 +109,7 @@
   console.log(`| ${cells.join(" | ")} |`);
 }
 
-/** Applies changes one after another; resolves with when each was acknowledged, by version. */
+/** Applies changes one after another; resolves with the time at which each was acknowledged, by version. */
 async function applyChanges(fleet: LocalFleet): Promise<Map<number, number>> {
   const client = ControlClient(fleet.controlAddress(await fleet.waitForLeader()));
   const acceptedAt = new Map<number, number>();
@@ -120,49 +127,49 @@
   return acceptedAt;
 }
 
-/** When each version came into force at one sidecar, from its log. */
+/** The time at which each version came into force at one sidecar, by version, from its log. */
 function inForceAt(fleet: LocalFleet, id: string): Map<number, number> {
-  const seen = new Map<number, number>();
+  const inForce = new Map<number, number>();
   for (const line of readFileSync(join(fleet.dir, `sidecar-${id}.log`), "utf8").split("\n")) {
     const m = /"version":(\d+),"msg":"configuration in force","time":"([^"]+)"/.exec(line);
     if (m) {
-      seen.set(Number(m[1]), Date.parse(m[2] ?? ""));
+      inForce.set(Number(m[1]), Date.parse(m[2] ?? ""));
     }
   }
-  return seen;
+  return inForce;
 }
 
-/** How long accepted changes take to be in force, and what they cost. */
-async function measureSpread(fleet: LocalFleet): Promise<void> {
+/** Measures how long accepted changes take to be in force, and their costs. */
+async function measurePropagation(fleet: LocalFleet): Promise<void> {
   const controls = [...fleet.controls.values()].map((c) => c.proc.pid ?? 0);
-  const before = await sample(fleet);
+  const before = await sampleSidecars(fleet);
   const controlBefore = controls.map(procStat);
   const t0 = Date.now();
   const acceptedAt = await applyChanges(fleet);
   const seconds = (Date.now() - t0) / 1000;
-  const after = await sample(fleet);
+  const after = await sampleSidecars(fleet);
   const controlCpu = controls.map((pid, i) => procStat(pid).cpuS - (controlBefore[i]?.cpuS ?? 0));
-  const bytesEach = mean(after.map((x, i) => x.configB - (before[i]?.configB ?? 0))) / CHANGES;
-  const one: number[] = [];
-  const every = new Map<number, number>();
+  const bytesPerChange = mean(after.map((x, i) => x.configB - (before[i]?.configB ?? 0))) / CHANGES;
+  const atOneMs: number[] = [];
+  const slowestMs = new Map<number, number>();
   for (const id of fleet.sidecars.keys()) {
     for (const [v, at] of inForceAt(fleet, id)) {
-      // In force before the operator hears of it counts as 0.
+      // A version that is in force before the operator gets the acknowledgement counts as 0.
       const ms = Math.max(0, at - (acceptedAt.get(v) ?? at));
-      one.push(ms);
-      every.set(v, Math.max(every.get(v) ?? 0, ms));
+      atOneMs.push(ms);
+      slowestMs.set(v, Math.max(slowestMs.get(v) ?? 0, ms));
     }
   }
-  const all = [...every.values()];
+  const atEveryMs = [...slowestMs.values()];
   const { size } = fleet.sidecars;
   console.log(`config: ${CHANGES} changes, ${size} sidecars, 3 replicas, ${seconds} s`);
   console.log(
-    `  accepted -> in force at one: p50 ${quantile(one, 0.5)}, p99 ${quantile(one, 0.99)} ms`,
+    `  accepted -> in force at one: p50 ${quantile(atOneMs, 0.5)}, p99 ${quantile(atOneMs, 0.99)} ms`,
   );
   console.log(
-    `  accepted -> in force at every: p50 ${quantile(all, 0.5)}, p99 ${quantile(all, 0.99)} ms`,
+    `  accepted -> in force at every: p50 ${quantile(atEveryMs, 0.5)}, p99 ${quantile(atEveryMs, 0.99)} ms`,
   );
-  console.log(`  ${bytesEach.toFixed(0)} B per sidecar per change (document ${DOC.length} B)`);
+  console.log(`  ${bytesPerChange.toFixed(0)} B per sidecar per change (document ${DOC.length} B)`);
   console.log(
     `  control replicas: CPU ${controlCpu.map((s) => ((s / seconds) * 100).toFixed(1)).join(", ")}%, ` +
       `RSS ${controls.map((pid) => (procStat(pid).rssB / 2 ** 20).toFixed(0)).join(", ")} MB`,
@@ -184,7 +191,7 @@
     announceAll(fleet);
     await measureMembership(fleet);
     if (n === SIZES.at(-1)) {
-      await measureSpread(fleet);
+      await measurePropagation(fleet);
     }
     clearInterval(announcer);
   } finally {
