--- a/bench/latency.ts
+++ b/bench/latency.ts
@@ -1,7 +1,6 @@
 /**
- * Added latency of the proxy path, one run: the same stand-in target (work
- * time 0) called directly, then through a sidecar, one request at a time, on
- * loopback. Prints p50/p99/p99.9 in ms for both and the difference.
+ * Measures the latency that the proxy adds: calls the same stand-in target (work time 0) directly, then through its
+ * sidecar, one request at a time, on loopback. Prints p50, p99 and p99.9 in ms for both, and their differences.
  * Not a test: run with `npm run bench:latency`.
  */
 import * as hdr from "hdr-histogram-js";
@@ -10,11 +9,14 @@
 import { fileURLToPath } from "node:url";
 import { LocalFleet } from "../scripts/LocalFleet.ts";
 
+/** Measured requests per path, after {@link WARMUP} that are not measured. */
 const REQUESTS = Number(process.env.BENCH_REQUESTS ?? 5000);
 const WARMUP = 500;
+/** Clock ticks a second in /proc/PID/stat (USER_HZ). */
 const TICKS_PER_S = 100;
 const DOC = fileURLToPath(new URL("../config/demo.yaml", import.meta.url));
 
+/** Latencies of GET requests for `path`, µs. */
 async function measure(origin: string, path: string): Promise<hdr.Histogram> {
   const pool = new Pool(origin, { connections: 1 });
   const histogram = hdr.build({
