--- a/scripts/LocalFleet.ts
+++ b/scripts/LocalFleet.ts
@@ -9,56 +9,56 @@
 
 const ROOT = fileURLToPath(new URL("..", import.meta.url));
 
-/** What a fleet runs. */
+/** The programs of a fleet, by name, with their sources. */
 const PROGRAMS = {
   burdockpassd: "src/daemon/main.ts",
   burdockpass: "src/cli/main.ts",
   standin: "src/standin/main.ts",
 } as const;
 
-/** Compiled once for all the fleets of this process: starting from the sources costs each process 2 s of processor time. */
+/** Programs are compiled once for all fleets of this process: a start from the sources costs 2 s of CPU time. */
 const BIN_DIR = mkdtempSync(join(tmpdir(), "burdockpass-bin-"));
-let compiled: Promise<void> | undefined;
+let compilation: Promise<void> | undefined;
 
-/** One stand-in target and the sidecar beside it. */
+/** A stand-in target and its local sidecar. */
 export interface FleetTarget {
   readonly id: string;
   readonly service: string;
   readonly zone: string;
   readonly slots: number;
   readonly workMs?: number;
-  /** More arguments for the stand-in, such as `--net-ms=1.5`. */
+  /** Additional arguments for the stand-in, such as `--net-ms=1.5`. */
   readonly standInArgs?: readonly string[];
 }
 
-/** A process of the fleet and its ports. */
-interface Member {
+/** A process of the fleet, and its ports by their use. */
+interface FleetProcess {
   readonly name: string;
   readonly proc: ChildProcess;
   readonly ports: Record<string, number>;
 }
 
-/** What kind of fleet to start. */
+/** Options of a fleet. */
 interface FleetOptions {
-  /** Every sidecar's routing policy; `naive` is the bench's baseline. */
+  /** Routing policy of all sidecars; `naive` is the baseline of the detection benchmark. */
   readonly policy: "adaptive" | "naive";
-  /** Control replicas: 1, 3 or 5. */
+  /** Number of control replicas: 1, 3 or 5. */
   readonly controls: number;
-  /** Where others are to reach a sidecar that listens at `addresses`; left out, there. */
+  /** Addresses that a sidecar which listens at `addresses` advertises to other members; by default `addresses`. */
   readonly advertise?: (id: string, addresses: SidecarAddresses) => Promise<SidecarAddresses>;
-  /** Settings of every sidecar besides; see SidecarSettings. */
+  /** Additional settings of every sidecar; see SidecarSettings. */
   readonly sidecarSettings?: object;
-  /** More arguments for a stand-in, once its sidecar is known. */
+  /** Additional arguments for a stand-in that depend on its sidecar's ports. */
   readonly standInArgs?: (id: string, sidecarPorts: Record<string, number>) => readonly string[];
 }
 
-/** Where other members reach a sidecar, host:port. */
+/** Addresses at which other members reach a sidecar, host:port. */
 export interface SidecarAddresses {
   readonly peer: string;
   readonly hop: string;
 }
 
-/** What a control replica says of itself. */
+/** The part of a control replica's `/status` that is used here. */
 interface ControlStatus {
   readonly replica: string;
   readonly leader: string;
@@ -69,17 +69,17 @@
 /** How long a process may take to stop after SIGTERM before it is killed, ms. */
 const STOP_GRACE_MS = 5000;
 
-/** How long a process may take to say it is ready, ms. */
+/** How long a process may take to report that it is ready, ms. */
 const READY_TIMEOUT_MS = 20_000;
 
 /**
- * A small fleet on loopback for the demo, the end-to-end tests and the bench:
- * one control replica, and for each target a stand-in and a sidecar, every
- * one a separate process. Only this tool starts processes; the daemon never does.
+ * A small fleet on loopback for the demo, the end-to-end tests and the benchmarks: one or more control replicas, and for
+ * each target a stand-in and a sidecar, each in a separate process. Only this tool starts processes; the daemon never
+ * does.
  */
 export class LocalFleet {
   readonly dir = mkdtempSync(join(tmpdir(), "burdockpass-fleet-"));
-  readonly #members: Member[] = [];
+  readonly #processes: FleetProcess[] = [];
   readonly #opts: FleetOptions;
   #controlPorts: number[] = [];
 
@@ -88,69 +88,69 @@
   }
 
   /** Control replicas by id, `control-1` and so on. */
-  readonly controls = new Map<string, Member>();
+  readonly controls = new Map<string, FleetProcess>();
   /** Sidecars by target id. */
-  readonly sidecars = new Map<string, Member>();
+  readonly sidecars = new Map<string, FleetProcess>();
   /** Stand-in targets by id. */
-  readonly targets = new Map<string, Member>();
+  readonly targets = new Map<string, FleetProcess>();
 
-  /** Starts control, then every sidecar and its stand-in; resolves once all are listening. */
+  /** Starts the control replicas, then every sidecar and its stand-in; resolves once all are listening. */
   async start(targets: readonly FleetTarget[]): Promise<void> {
     await this.#startControl();
     const peerPorts = await Promise.all(targets.map(() => freePort()));
     await Promise.all(
       targets.map(async (t, i) => {
         const sidecar = await this.#startSidecar(t.id, t.zone, peerPorts, i);
-        const target = await this.#standIn(t, sidecar.ports);
+        const target = await this.#startStandIn(t, sidecar.ports);
         this.targets.set(t.id, target);
       }),
     );
   }
 
-  /** Starts control and sidecars with no stand-ins beside them: the capacity bench announces for them. */
+  /** Starts control replicas and sidecars without stand-ins: the caller announces targets itself. */
   async startSidecarsOnly(sidecars: readonly { id: string; zone: string }[]): Promise<void> {
     await this.#startControl();
     const peerPorts = await Promise.all(sidecars.map(() => freePort()));
     await Promise.all(sidecars.map((s, i) => this.#startSidecar(s.id, s.zone, peerPorts, i)));
   }
 
-  /** Kills the sidecar beside target `id` at once (SIGKILL), as a crash would. */
+  /** Kills the sidecar of target `id` (SIGKILL), like a crash. */
   async killSidecar(id: string): Promise<void> {
-    await kill(this.#sidecar(id));
+    await kill(this.#sidecarById(id));
   }
 
-  /** Stops the sidecar beside target `id` as planned work does (SIGTERM); resolves with its exit code. */
+  /** Stops the sidecar of target `id` as in a planned stop (SIGTERM); resolves with its exit code. */
   async stopSidecar(id: string): Promise<number | null> {
-    const { proc } = this.#sidecar(id);
+    const { proc } = this.#sidecarById(id);
     const exited = new Promise<number | null>((resolve) => proc.once("exit", resolve));
     proc.kill("SIGTERM");
     return exited;
   }
 
-  /** Starts the sidecar beside target `id` again, with the same settings and ports. */
+  /** Starts the sidecar of target `id` again, with the same settings and ports. */
   async restartSidecar(id: string): Promise<void> {
-    const { name, ports } = this.#sidecar(id);
-    this.sidecars.set(id, await this.#launch(name, ports));
+    const { name, ports } = this.#sidecarById(id);
+    this.sidecars.set(id, await this.#launchDaemon(name, ports));
   }
 
-  /** Kills control replica `id` at once (SIGKILL). */
+  /** Kills control replica `id` (SIGKILL). */
   async killControl(id: string): Promise<void> {
-    await kill(this.#control(id));
+    await kill(this.#controlById(id));
   }
 
-  /** Starts control replica `id` again; never as the first start of all. */
+  /** Starts control replica `id` again, with `bootstrap: false`, as its group already exists. */
   async restartControl(id: string): Promise<void> {
-    const { name, ports } = this.#control(id);
+    const { name, ports } = this.#controlById(id);
     const file = join(this.dir, `${name}.yaml`);
     const settings = parse(readFileSync(file, "utf8")) as object;
     writeFileSync(file, stringify({ ...settings, bootstrap: false }));
-    this.controls.set(id, await this.#launch(name, ports));
+    this.controls.set(id, await this.#launchDaemon(name, ports));
   }
 
-  /** A control replica's `/status`; undefined when it does not answer. */
+  /** A control replica's `/status`; undefined if it does not respond. */
   async controlStatus(id: string): Promise<ControlStatus | undefined> {
     try {
-      const res = await fetch(`http://127.0.0.1:${this.#control(id).ports.admin}/status`, {
+      const res = await fetch(`http://127.0.0.1:${this.#controlById(id).ports.admin}/status`, {
         signal: AbortSignal.timeout(1000),
       });
       return (await res.json()) as ControlStatus;
@@ -159,7 +159,7 @@
     }
   }
 
-  /** Waits until some replica leads, and returns its id. */
+  /** Waits until a control replica is the leader, and returns its id. */
   async waitForLeader(timeoutMs = 15_000): Promise<string> {
     const until = Date.now() + timeoutMs;
     while (Date.now() < until) {
@@ -171,17 +171,17 @@
       }
       await new Promise((r) => setTimeout(r, 50));
     }
-    throw new Error(`no control replica leads after ${timeoutMs} ms`);
+    throw new Error(`no control replica became the leader within ${timeoutMs} ms`);
   }
 
-  /** The data folder of the sidecar beside target `id`. */
+  /** The data directory of the sidecar of target `id`. */
   sidecarDataDir(id: string): string {
     return join(this.dir, `sidecar-${id}`);
   }
 
   /** Runs the CLI with `args`; resolves with its exit code and output. */
   async cli(args: readonly string[]): Promise<{ code: number; out: string; err: string }> {
-    const proc = spawn(process.execPath, [await this.#program("burdockpass"), ...args], {
+    const proc = spawn(process.execPath, [await this.#compiledProgram("burdockpass"), ...args], {
       cwd: ROOT,
     });
     let out = "";
@@ -195,12 +195,12 @@
     );
   }
 
-  /** Applies the operators' document `file` through the CLI, at this fleet's control. */
+  /** Applies the operators' document `file` through the CLI, at this fleet's control replicas. */
   apply(file: string): Promise<{ code: number; out: string; err: string }> {
     return this.cli(["config", "apply", file, "--control", this.controlAddresses.join(",")]);
   }
 
-  /** Polls every sidecar's status until each sees `count` ready targets, or throws after `timeoutMs`. */
+  /** Polls until every sidecar sees `count` ready targets; throws after `timeoutMs`. */
   async waitForTargets(count: number, timeoutMs = 15_000): Promise<void> {
     const until = Date.now() + timeoutMs;
     while (Date.now() < until) {
@@ -210,10 +210,10 @@
       }
       await new Promise((r) => setTimeout(r, 100));
     }
-    throw new Error(`sidecars did not all see ${count} ready targets within ${timeoutMs} ms`);
+    throw new Error(`not all sidecars saw ${count} ready targets within ${timeoutMs} ms`);
   }
 
-  /** Polls until every sidecar has config `version` in force. */
+  /** Polls until every sidecar has configuration `version` in force; throws after `timeoutMs`. */
   async waitForVersion(version: number, timeoutMs = 15_000): Promise<void> {
     const until = Date.now() + timeoutMs;
     while (Date.now() < until) {
@@ -223,12 +223,12 @@
       }
       await new Promise((r) => setTimeout(r, 50));
     }
-    throw new Error(`version ${version} not in force everywhere within ${timeoutMs} ms`);
+    throw new Error(`version ${version} not in force at every sidecar within ${timeoutMs} ms`);
   }
 
   /** A sidecar's `/status`. */
   async status(
-    s: Member,
+    s: FleetProcess,
   ): Promise<{ configVersion: number; members: number; targets: { state: string }[] }> {
     const res = await fetch(`http://127.0.0.1:${s.ports.admin}/status`);
     return (await res.json()) as {
@@ -238,7 +238,8 @@
     };
   }
 
-  async readyTargets(s: Member): Promise<number> {
+  /** Number of ready targets that a sidecar sees; 0 if it does not respond. */
+  async readyTargets(s: FleetProcess): Promise<number> {
     try {
       return (await this.status(s)).targets.filter((t) => t.state === "ready").length;
     } catch {
@@ -249,17 +250,17 @@
   /** Sends SIGTERM to every process and waits for each to exit. */
   async stop(): Promise<void> {
     await Promise.all(
-      this.#members.reverse().map(
+      this.#processes.reverse().map(
         (m) =>
           new Promise<void>((resolve) => {
             if (m.proc.exitCode !== null || m.proc.signalCode !== null) {
               resolve();
               return;
             }
-            // Not unref'd: if this process ended first, a child that ignored SIGTERM would be orphaned.
-            const kill = setTimeout(() => m.proc.kill("SIGKILL"), STOP_GRACE_MS);
+            // Not unref'd: otherwise this process could exit first and orphan a child that ignores SIGTERM.
+            const killTimer = setTimeout(() => m.proc.kill("SIGKILL"), STOP_GRACE_MS);
             m.proc.once("exit", () => {
-              clearTimeout(kill);
+              clearTimeout(killTimer);
               resolve();
             });
             m.proc.kill("SIGTERM");
@@ -278,10 +279,10 @@
     return this.controlAddresses[Number(id.replace("control-", "")) - 1] ?? "";
   }
 
-  /** One of the programs, compiled from the sources as they are now. */
-  async #program(name: keyof typeof PROGRAMS): Promise<string> {
-    compiled ??= bundle(BIN_DIR, PROGRAMS);
-    await compiled;
+  /** Path of a program, compiled from the current sources. */
+  async #compiledProgram(name: keyof typeof PROGRAMS): Promise<string> {
+    compilation ??= bundle(BIN_DIR, PROGRAMS);
+    await compilation;
     return join(BIN_DIR, `${name}.cjs`);
   }
 
@@ -303,18 +304,18 @@
           seeds: this.controlAddresses,
           bootstrap: true,
         };
-        this.controls.set(id, await this.#daemon(id, settings, { admin }));
+        this.controls.set(id, await this.#startDaemon(id, settings, { admin }));
       }),
     );
   }
 
-  /** Starts the sidecar for target `id`; the first two sidecars' peer ports are everyone's seeds. */
+  /** Starts the sidecar of target `id`; the peer ports of the first two sidecars are the seeds of all. */
   async #startSidecar(
     id: string,
     zone: string,
     peerPorts: readonly number[],
     i: number,
-  ): Promise<Member> {
+  ): Promise<FleetProcess> {
     const ports = {
       caller: await freePort(),
       admin: await freePort(),
@@ -341,54 +342,59 @@
       dataDir: join(this.dir, `sidecar-${id}`),
       traceFile: join(this.dir, `trace-${id}.jsonl`),
     };
-    const sidecar = await this.#daemon(`sidecar-${id}`, settings, ports);
+    const sidecar = await this.#startDaemon(`sidecar-${id}`, settings, ports);
     this.sidecars.set(id, sidecar);
     return sidecar;
   }
 
-  async #daemon(name: string, settings: object, ports: Record<string, number>): Promise<Member> {
+  /** Writes the settings file `NAME.yaml`, and starts the daemon on it. */
+  async #startDaemon(
+    name: string,
+    settings: object,
+    ports: Record<string, number>,
+  ): Promise<FleetProcess> {
     writeFileSync(join(this.dir, `${name}.yaml`), stringify(settings));
-    return this.#launch(name, ports);
+    return this.#launchDaemon(name, ports);
   }
 
-  #control(id: string): Member {
-    const member = this.controls.get(id);
-    if (!member) {
-      throw new Error(`no control replica ${id}`);
+  #controlById(id: string): FleetProcess {
+    const replica = this.controls.get(id);
+    if (!replica) {
+      throw new Error(`there is no control replica ${id}`);
     }
-    return member;
+    return replica;
   }
 
-  #sidecar(id: string): Member {
-    const member = this.sidecars.get(id);
-    if (!member) {
-      throw new Error(`no sidecar beside ${id}`);
+  #sidecarById(id: string): FleetProcess {
+    const sidecar = this.sidecars.get(id);
+    if (!sidecar) {
+      throw new Error(`target ${id} has no sidecar`);
     }
-    return member;
+    return sidecar;
   }
 
-  /** Starts the daemon on the settings file written for `name`. */
-  async #launch(name: string, ports: Record<string, number>): Promise<Member> {
+  /** Starts the daemon on the settings file `NAME.yaml`, and waits until it has started. */
+  async #launchDaemon(name: string, ports: Record<string, number>): Promise<FleetProcess> {
     const file = join(this.dir, `${name}.yaml`);
-    const proc = spawn(process.execPath, [await this.#program("burdockpassd"), file], {
+    const proc = spawn(process.execPath, [await this.#compiledProgram("burdockpassd"), file], {
       cwd: ROOT,
       env: { ...process.env, BURDOCKPASS_LOG: process.env.BURDOCKPASS_LOG ?? "info" },
       stdio: ["ignore", "pipe", "inherit"],
     });
-    const member = this.#own({ name, proc, ports });
+    const started = this.#track({ name, proc, ports });
     await waitForLine(
       proc,
       /"msg":"(control|sidecar) started"/,
       name,
       join(this.dir, `${name}.log`),
     );
-    return member;
+    return started;
   }
 
-  async #standIn(t: FleetTarget, sidecarPorts: Record<string, number>): Promise<Member> {
+  async #startStandIn(t: FleetTarget, sidecarPorts: Record<string, number>): Promise<FleetProcess> {
     const port = await freePort();
     const args = [
-      await this.#program("standin"),
+      await this.#compiledProgram("standin"),
       `--id=${t.id}`,
       `--service=${t.service}`,
       `--port=${port}`,
@@ -399,27 +405,27 @@
       ...(this.#opts.standInArgs?.(t.id, sidecarPorts) ?? []),
     ];
     const proc = spawn(process.execPath, args, { cwd: ROOT, stdio: ["ignore", "pipe", "inherit"] });
-    const member = this.#own({ name: t.id, proc, ports: { http: port } });
+    const started = this.#track({ name: t.id, proc, ports: { http: port } });
     await waitForLine(proc, /standin ready/, t.id, join(this.dir, `${t.id}.log`));
-    return member;
+    return started;
   }
 
-  /** Takes charge of a process as it is spawned: one of a fleet that fails to start must end with it too. */
-  #own(member: Member): Member {
-    this.#members.push(member);
-    return member;
+  /** Registers a process as soon as it is spawned, so that `stop` ends it even if the fleet fails to start. */
+  #track(started: FleetProcess): FleetProcess {
+    this.#processes.push(started);
+    return started;
   }
 }
 
-async function kill(member: Member): Promise<void> {
-  const gone = new Promise((resolve) => member.proc.once("exit", resolve));
-  member.proc.kill("SIGKILL");
-  await gone;
+async function kill(fleetProcess: FleetProcess): Promise<void> {
+  const exited = new Promise((resolve) => fleetProcess.proc.once("exit", resolve));
+  fleetProcess.proc.kill("SIGKILL");
+  await exited;
 }
 
 /**
- * Copies `proc`'s stdout to `logFile` and resolves once it prints a line
- * matching `pattern`; rejects if it exits first or takes too long.
+ * Copies the stdout of `proc` to `logFile`, and resolves once the output matches `pattern`; rejects if the process exits
+ * first, or after {@link READY_TIMEOUT_MS}.
  */
 function waitForLine(
   proc: ChildProcess,
@@ -430,19 +436,19 @@
   const log = createWriteStream(logFile, { flags: "a" });
   proc.stdout?.pipe(log);
   return new Promise((resolve, reject) => {
-    let seen = "";
+    let output = "";
     const timer = setTimeout(() => {
       reject(new Error(`${name} not ready in ${READY_TIMEOUT_MS} ms`));
     }, READY_TIMEOUT_MS);
-    const watch = (d: Buffer) => {
-      seen += d.toString();
-      if (pattern.test(seen)) {
+    const onData = (d: Buffer) => {
+      output += d.toString();
+      if (pattern.test(output)) {
         clearTimeout(timer);
-        proc.stdout?.off("data", watch);
+        proc.stdout?.off("data", onData);
         resolve();
       }
     };
-    proc.stdout?.on("data", watch);
+    proc.stdout?.on("data", onData);
     proc.once("exit", (code) => {
       reject(new Error(`${name} exited with ${code}`));
     });
