--- a/scripts/bundle.ts
+++ b/scripts/bundle.ts
@@ -6,16 +6,16 @@
 
 const ROOT = fileURLToPath(new URL("..", import.meta.url));
 
-/** Programs that make up the product, by their names. */
+/** The product's programs, by name, with their sources. */
 export const PROGRAMS = {
   burdockpassd: "src/daemon/main.ts",
   burdockpass: "src/cli/main.ts",
 } as const;
 
-/** Starts a program with its code cache; see {@link file://../src/launcher/runCached.ts}. */
+/** Starts a compiled program with its code cache; see {@link file://../src/launcher/runCached.ts}. */
 const LAUNCHER = "src/launcher/main.ts";
 
-/** Optional parts of libraries that are looked for at run time, and done without. */
+/** Optional dependencies of libraries, which try to load them at run time and work without them. */
 const OPTIONAL = ["dtrace-provider", "mv", "safe-json-stringify", "source-map-support"];
 
 const OPTIONS: BuildOptions = {
@@ -36,10 +36,10 @@
 };
 
 /**
- * Compiles each program into one file, `NAME.program.js`, and the launcher `NAME.cjs`
- * that runs it, under `outDir`, with the protocol definitions beside them: a process
- * then starts with one read instead of a thousand, and no compiler. They are CommonJS,
- * since Node has no way to give an ES module a code cache.
+ * Compiles each program into one file, `NAME.program.js`, with a launcher, `NAME.cjs`, that runs it, and copies the
+ * protocol definitions to the same directory, `outDir`, whose previous contents are removed. A process then reads one
+ * file at its start instead of a thousand, and needs no compiler. The output is CommonJS, since Node has no way to use
+ * a code cache for an ES module.
  */
 export async function bundle(
   outDir: string,
