--- a/scripts/freePort.ts
+++ b/scripts/freePort.ts
@@ -1,29 +1,28 @@
 import { createServer, type Server } from "node:net";
 
-/** Below the kernel's range for outgoing connections, which could take a port between its choice and its use. */
+/** Below the kernel's range of ephemeral ports: an outgoing connection could take a port between its choice and its use. */
 const FIRST_PORT = 10_000;
 
-/** Each process that starts fleets has a slice of ports of its own, as test files run side by side. */
+/** Each process that starts fleets has its own slice of ports, as test files run in parallel processes. */
 const SLICE_PORTS = 400;
 const SLICES = 55;
 
-/** Kept open while this process lives: the first port of its slice, which marks the slice as taken. */
-let guard: Server | undefined;
-let claimed: Promise<number> | undefined;
-let handedOut = 0;
+/** Listens on the first port of this process's slice until the process exits, to mark the slice as taken. */
+let sliceGuard: Server | undefined;
+let firstPort: Promise<number> | undefined;
+let portsHandedOut = 0;
 
 /**
- * A port free on loopback now and not handed out before by this process. The
- * slice is claimed by listening on its first port: two processes whose pids
- * merely differ by a multiple of the number of slices would otherwise hand out
- * the same ports, and the later of two fleets fails with EADDRINUSE.
+ * Returns a port that is free on loopback now, and that this process has not handed out before (the ports of its slice
+ * are handed out in turn). A slice is claimed by listening on its first port: otherwise, two processes whose pids differ by a multiple of the number of slices would hand out the
+ * same ports, and the fleet that starts later would fail with EADDRINUSE.
  */
 export async function freePort(): Promise<number> {
-  claimed ??= claimSlice();
-  const first = await claimed;
+  firstPort ??= claimSlice();
+  const first = await firstPort;
   for (;;) {
-    // The guard's own port is never handed out.
-    const port = first + 1 + (handedOut++ % (SLICE_PORTS - 1));
+    // The port of the guard is never handed out.
+    const port = first + 1 + (portsHandedOut++ % (SLICE_PORTS - 1));
     const probe = await listen(port);
     if (probe) {
       await close(probe);
@@ -35,9 +34,9 @@
 async function claimSlice(): Promise<number> {
   for (let n = 0; n < SLICES; n++) {
     const first = FIRST_PORT + ((process.pid + n) % SLICES) * SLICE_PORTS;
-    guard = await listen(first);
-    if (guard) {
-      guard.unref();
+    sliceGuard = await listen(first);
+    if (sliceGuard) {
+      sliceGuard.unref();
       return first;
     }
   }
