--- a/scripts/trimLibraries.ts
+++ b/scripts/trimLibraries.ts
@@ -2,9 +2,9 @@
 import type { Plugin } from "esbuild";
 
 /**
- * Leaves out of compiled programs what they never use of their libraries and would still
- * read at every start: undici's fetch, WebSocket, mocks and caches (0.3 MB), and zod's
- * messages in languages but English (0.26 MB). 0.48 s to 0.38 s of processor time a start.
+ * Removes parts of libraries from compiled programs that they never use but would load at every start: undici's fetch,
+ * WebSocket, mocks and caches (0.3 MB), and zod's messages in languages other than English (0.26 MB). This reduces the
+ * CPU time of a start from 0.48 s to 0.38 s.
  */
 export const trimLibraries: Plugin = {
   name: "trim-libraries",
@@ -14,7 +14,7 @@
       resolveDir: join(path, ".."),
       contents: UNDICI,
     }));
-    // Only used with bodies that are forms or streams of the web, of which there are none here.
+    // Only used for bodies that are FormData or web streams, which the programs do not use.
     build.onLoad({ filter: /node_modules\/undici\/lib\/web\// }, () => ({
       loader: "js",
       contents: "module.exports = {};",
