--- a/scripts/freePort.ts
+++ b/scripts/freePort.ts
@@ -14,8 +14,9 @@
 
 /**
  * Returns a port that is free on loopback now, and that this process has not handed out before (the ports of its slice
- * are handed out in turn). A slice is claimed by listening on its first port: otherwise, two processes whose pids differ by a multiple of the number of slices would hand out the
- * same ports, and the fleet that starts later would fail with EADDRINUSE.
+ * are handed out in turn). A slice is claimed by listening on its first port: otherwise, two processes whose pids differ
+ * by a multiple of the number of slices would hand out the same ports, and the fleet that starts later would fail with
+ * EADDRINUSE.
  */
 export async function freePort(): Promise<number> {
   firstPort ??= claimSlice();
