--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -29,7 +29,7 @@
 /** Delay until a membership update has reached all members by gossip, ms. */
 const GOSSIP_MS = 200;
 
-/** Time from the end of a sidecar's process to its next start, and from there until its target has announced itself, ms. */
+/** Time from the end of a sidecar's process to its next start, and from that until its target has announced itself, ms. */
 const RESTART_MS = 1100;
 const ANNOUNCE_MS = 350;
 
@@ -184,7 +184,7 @@
     }
   }
 
-  /** Whether the target has been in no gray interval for so long that no run from one can affect its health state now. */
+  /** Whether the target's last gray interval is so long ago that no run from it can affect its health state now. */
   #wasRecentlyHealthy(name: string): boolean {
     const now = this.#clock.now();
     return this.#targets.get(name)?.isHealthy(now - AFTER_GRAY_MS, now) ?? false;
@@ -259,7 +259,7 @@
     }
   }
 
-  /** A random time with an exponential distribution and a mean of `mean` ms. */
+  /** A random time from an exponential distribution (memoryless) with a mean of `mean` ms. */
   #exponential(mean: number): number {
     return -Math.log(1 - this.#random()) * mean;
   }
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -54,7 +54,7 @@
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
   /** Runs a request at the local target. */
   readonly runAtTarget: (req: TargetRequest) => Promise<ForwardResult>;
-  /** Called when the health state of the local target changes. */
+  /** Called when the health state of the local target changes, and when a planned stop begins. */
   readonly onHealthChange: (load: GateLoad) => void;
   /** Called when the sidecar leaves the membership in a planned stop. */
   readonly onLeaving: () => void;
--- a/experiment/Tally.ts
+++ b/experiment/Tally.ts
@@ -35,7 +35,7 @@
   readonly byKind: Readonly<Record<string, number>>;
 }
 
-/** Collects callers' requests that have ended, and computes the results of a run. */
+/** Collects callers' requests that have ended, and computes the results of a simulation run. */
 export class Tally {
   readonly #ended: EndedRequest[] = [];
 
