--- a/experiment/SimClock.ts
+++ b/experiment/SimClock.ts
@@ -3,16 +3,16 @@
 
 interface Entry {
   readonly due: number;
-  /** Orders entries that are due at the same moment by when they were set. */
+  /** Sequence number: entries that are due at the same time run in the order in which they were set. */
   readonly order: number;
-  readonly act: () => void;
+  readonly callback: () => void;
   cancelled: boolean;
 }
 
-/** Promise callbacks that wait on each other need as many turns of the microtask queue. */
-const SETTLE_TURNS = 12;
+/** Turns of the microtask queue after each timer, so that chains of promise callbacks settle before the next one. */
+const MICROTASK_TURNS = 12;
 
-/** Simulated time: a heap of timers, run one after the other as fast as they come. */
+/** A simulated clock: timers are kept in a heap and run in order, without waiting for real time to pass. */
 export class SimClock implements Clock {
   #now = 0;
   #order = 0;
@@ -22,11 +22,11 @@
     return this.#now;
   }
 
-  after(ms: number, act: () => void): Timer {
+  after(ms: number, callback: () => void): Timer {
     const entry = {
       due: this.#now + Math.max(0, ms),
       order: this.#order++,
-      act,
+      callback,
       cancelled: false,
     };
     this.#push(entry);
@@ -37,7 +37,7 @@
     };
   }
 
-  /** Runs until the simulated time is `until`, ms; promises settle between timers. */
+  /** Runs timers until the simulated time is `until`, ms; promises settle between timers. */
   async run(until: number): Promise<void> {
     for (;;) {
       const next = this.#heap[0];
@@ -48,8 +48,8 @@
       this.#pop();
       if (!next.cancelled) {
         this.#now = next.due;
-        next.act();
-        for (let i = 0; i < SETTLE_TURNS; i++) {
+        next.callback();
+        for (let i = 0; i < MICROTASK_TURNS; i++) {
           await Promise.resolve();
         }
       }
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -28,15 +28,15 @@
 import { SimHop } from "./SimHop.ts";
 import type { Variant } from "./Variant.ts";
 
-/** How a planned stop goes, as on the users' platform, ms. */
-const STOP = { callersMs: 2700, endsInMs: 5300 };
+/** Times of a planned stop, as on the users' platform, ms. */
+const STOP_TIMES = { callersMs: 2700, endsInMs: 5300 };
 
-/** How often a stop looks whether its callers' requests are answered, ms. */
-const ANSWERED_CHECK_MS = 20;
+/** Interval at which a planned stop checks whether all callers' requests have got responses, ms. */
+const IN_FLIGHT_CHECK_MS = 20;
 
 const log = bunyan.createLogger({ name: "experiment", level: "fatal" });
 
-/** A VM with a target and a sidecar, as the scenario has it. */
+/** A simulated VM with a target and its sidecar. */
 export interface SimVm {
   readonly name: string;
   readonly zone: number;
@@ -46,24 +46,24 @@
 
 interface SimSidecarDeps {
   readonly vm: SimVm;
-  /** Tells one life of the process from another, counted from 1. */
-  readonly life: number;
-  readonly zoneMs: number;
+  /** Number of this incarnation of the sidecar's process, from 1. */
+  readonly incarnationNumber: number;
+  readonly zoneLatencyMs: number;
   readonly budget: RetryBudgetRule;
-  /** The sidecars that there are now, by their VMs' names. */
+  /** The sidecars that are running now, by the names of their VMs. */
   readonly sidecars: ReadonlyMap<string, SimSidecar>;
-  /** Has the target work on a request. */
-  readonly work: (req: TargetRequest) => Promise<ForwardResult>;
-  /** Told when the target is thought of otherwise. */
-  readonly onJudged: (load: GateLoad) => void;
-  /** Tells the others that this one is going. */
+  /** Runs a request at the local target. */
+  readonly runAtTarget: (req: TargetRequest) => Promise<ForwardResult>;
+  /** Called when the health state of the local target changes, and when a planned stop begins. */
+  readonly onHealthChange: (load: GateLoad) => void;
+  /** Called when the sidecar leaves the membership in a planned stop. */
   readonly onLeaving: () => void;
   readonly variant: Variant;
   readonly clock: SimClock;
   readonly random: () => number;
 }
 
-/** One life of a sidecar's process: the product's own decisions, put together as in the product. */
+/** One incarnation of a simulated sidecar: the product's own components, connected as in the product. */
 export class SimSidecar {
   readonly #deps: SimSidecarDeps;
   readonly #table: TargetTable;
@@ -79,36 +79,36 @@
 
   constructor(deps: SimSidecarDeps) {
     this.#deps = deps;
-    const { vm, clock, random, zoneMs, sidecars } = deps;
+    const { vm, clock, random, zoneLatencyMs, sidecars } = deps;
     const zone = ZoneName(zoneOf(vm));
-    this.#grants = new GrantIds(String(deps.life));
-    this.#table = this.#openTable();
+    this.#grants = new GrantIds(String(deps.incarnationNumber));
+    this.#table = this.#createTable();
     const runs = new ActiveRuns(clock);
-    this.budgets = this.#openBudgets();
-    this.gate = this.#openGate(runs);
-    this.runner = this.#openRunner(runs);
+    this.budgets = this.#createBudgets();
+    this.gate = this.#createGate(runs);
+    this.runner = this.#createRunner(runs);
     this.policy = new AdaptivePolicy({ table: this.#table, zone, clock, random });
-    this.hop = new SimHop({ sidecars, zone: vm.zone, zoneMs, clock });
-    this.#dispatcher = this.#openDispatcher(runs);
+    this.hop = new SimHop({ sidecars, zone: vm.zone, zoneLatencyMs, clock });
+    this.#dispatcher = this.#createDispatcher(runs);
   }
 
   get vm(): SimVm {
     return this.#deps.vm;
   }
 
-  /** Callers may be sent here. */
+  /** Whether callers may send requests to this sidecar. */
   get isReady(): boolean {
     return this.#isReady;
   }
 
-  /** Takes in what is told of members. */
-  hear(members: readonly ProtoTypes["Member"][]): void {
+  /** Merges membership updates into this sidecar's view. */
+  mergeMembers(members: readonly ProtoTypes["Member"][]): void {
     this.#table.merge(members);
   }
 
-  /** What it tells the others of itself. */
-  describe(isGone: boolean): ProtoTypes["Member"] {
-    const { vm, life } = this.#deps;
+  /** This sidecar's own membership entry; with `isGone`, the one that announces its end. */
+  describeMember(isGone: boolean): ProtoTypes["Member"] {
+    const { vm, incarnationNumber } = this.#deps;
     const target = {
       target_id: vm.name,
       service: vm.service,
@@ -124,7 +124,7 @@
       hop_address: vm.name,
       zone: zoneOf(vm),
       revision: isGone ? 1 : 0,
-      incarnation: life,
+      incarnation: incarnationNumber,
       gone: isGone,
       control: false,
       stopping: false,
@@ -132,7 +132,7 @@
     };
   }
 
-  /** Serves a request of a caller, or a call of the target beside it. */
+  /** Serves a caller's request, or a nested call of the local target. */
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
     this.#inFlight += 1;
     try {
@@ -142,13 +142,13 @@
     }
   }
 
-  /** A planned stop; resolves when the process has ended. */
+  /** Stops the sidecar as planned; resolves when the process would exit. */
   async stop(): Promise<void> {
     const { clock, onLeaving } = this.#deps;
     this.#isReady = false;
     const parts = {
       beginStop: () => undefined,
-      closeCallers: () => this.#answered(),
+      closeCallers: () => this.#waitForCallers(),
       refuseWaiting: () => {
         this.#dispatcher.close();
       },
@@ -158,30 +158,30 @@
         return Promise.resolve();
       },
     };
-    await drainSidecar(parts, STOP, clock, log);
+    await drainSidecar(parts, STOP_TIMES, clock, log);
   }
 
-  async #answered(): Promise<void> {
+  async #waitForCallers(): Promise<void> {
     const { clock } = this.#deps;
     while (this.#inFlight > 0) {
-      await new Promise<void>((resolve) => clock.after(ANSWERED_CHECK_MS, resolve));
+      await new Promise<void>((resolve) => clock.after(IN_FLIGHT_CHECK_MS, resolve));
     }
   }
 
-  #openTable(): TargetTable {
-    const { vm, clock, life } = this.#deps;
+  #createTable(): TargetTable {
+    const { vm, clock, incarnationNumber } = this.#deps;
     const own = {
       id: SidecarId(`self-${vm.name}`),
       peerAddress: `self-${vm.name}`,
       hopAddress: "none",
       zone: ZoneName(zoneOf(vm)),
-      incarnation: life,
+      incarnation: incarnationNumber,
     };
     return new TargetTable(own, () => clock.now());
   }
 
-  #openGate(runs: ActiveRuns): Gate {
-    const { vm, clock, onJudged, variant } = this.#deps;
+  #createGate(runs: ActiveRuns): Gate {
+    const { vm, clock, onHealthChange: onJudged, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
       target: () => ({ slots: vm.slots, takesWork: true }),
@@ -194,47 +194,47 @@
     });
   }
 
-  #openRunner(here: ActiveRuns): TargetRunner {
-    const { vm, clock, work } = this.#deps;
+  #createRunner(here: ActiveRuns): TargetRunner {
+    const { vm, clock, runAtTarget } = this.#deps;
     const id = TargetId(vm.name);
     return new TargetRunner({
       gates: { get: () => this.gate },
       runs: new RunTable(clock),
       here,
       target: () => this.#table.target(id),
-      send: (_target, req) => work(req),
+      send: (_target, req) => runAtTarget(req),
       grants: this.#grants,
       log,
     });
   }
 
-  #openDispatcher(runs: ActiveRuns): Dispatcher {
+  #createDispatcher(runs: ActiveRuns): Dispatcher {
     const { vm, clock } = this.#deps;
     return new Dispatcher({
       policy: this.policy,
       hop: this.hop,
       callerService: vm.service,
       budgets: this.budgets,
-      borrower: this.#openLoans(),
+      borrower: this.#createTokenBorrower(),
       calls: new TrafficClassifier({ runs, log }),
       clock,
       log,
     });
   }
 
-  #openBudgets(): RetryBudgets {
-    const { clock, budget, life, random } = this.#deps;
+  #createBudgets(): RetryBudgets {
+    const { clock, budget, incarnationNumber, random } = this.#deps;
     return new RetryBudgets({
       rule: () => budget,
       members: () => this.#table.knownCount,
       clock,
-      // A fleet that is played from its midst has been up for long; lives that follow begin with what they know.
-      startedAt: life === 1 ? -Infinity : clock.now(),
+      // The simulated fleet has long been running; later incarnations get no share of the retry slack for one window.
+      startedAt: incarnationNumber === 1 ? -Infinity : clock.now(),
       random,
     });
   }
 
-  #openLoans(): RetryTokenBorrower {
+  #createTokenBorrower(): RetryTokenBorrower {
     const { vm, sidecars, random } = this.#deps;
     const lenders = () =>
       [...sidecars.values()]
