--- a/test/delayedRequest.test.ts
+++ b/test/delayedRequest.test.ts
@@ -29,18 +29,18 @@
 const DEADLINE_MS = 8000;
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** A dispatcher, and a gate to one target at the other end of a link that holds what is sent over it. */
-async function rig(t: ExecutionContext, runMs: number) {
-  // Grants do not expire by themselves, however slow the machine.
+/** Starts a dispatcher, and a gate to one target behind a link that buffers what is sent over it. */
+async function setUp(t: ExecutionContext, runMs: number) {
+  // On a fake clock grants do not expire, however slow the machine.
   const clock = new FakeClock();
-  const grants = new GrantIds("this life");
+  const grants = new GrantIds("incarnation-1");
   const gate = new Gate({
     target: () => ({ slots: 2, takesWork: true }),
     detector: AlwaysHealthyDetector,
     clock,
     grants,
   });
-  const counts = { asks: 0, arrivals: 0, runs: 0 };
+  const counts = { slotRequests: 0, arrivals: 0, runs: 0 };
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs: new RunTable(clock),
@@ -60,11 +60,11 @@
   const link = new DelayProxy((server.address() as AddressInfo).port);
   const address = await link.start();
   const hop = new HopClient({
-    requestSlot: (_address, ask) => {
-      counts.asks += 1;
+    requestSlot: (_address, req) => {
+      counts.slotRequests += 1;
       let ticket: ReturnType<Gate["requestSlot"]> | undefined;
-      const answer = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(ask, resolve)));
-      return { answer, giveUp: () => ticket?.withdraw() };
+      const reply = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
+      return { answer: reply, giveUp: () => ticket?.withdraw() };
     },
   });
   const dispatcher = new Dispatcher({
@@ -91,30 +91,32 @@
 }
 
 const cases = [
-  { name: "and its run ends at once", runMs: 0 },
-  { name: "and its run takes long", runMs: 500 },
+  { name: "short run", runMs: 0 },
+  { name: "long run", runMs: 500 },
 ];
 
 for (const { name, runMs } of cases) {
-  test(`a delayed request does not run on a later grant of its attempt: ${name}`, async (t) => {
-    const { link, dispatcher, counts } = await rig(t, runMs);
+  test(`a delayed run request does not run on a later grant of the same attempt: ${name}`, async (t) => {
+    const { link, dispatcher, counts } = await setUp(t, runMs);
     const startedAt = SystemClock.now();
     const request = makeCallerRequest({
       method: "POST",
       startedAt,
       deadlineAt: startedAt + DEADLINE_MS,
     });
-    const answered = dispatcher.dispatch(makeRoute({ idempotent: false }), request);
-    await eventually(() => link.connections[1]?.isHolding === true);
-    const [delayed, join] = link.connections;
-    join?.release();
-    // The attempt has its second grant, and the request that is to use it is on its way, too.
-    await eventually(() => counts.asks === 2 && link.connections.slice(1).some((c) => c.isHolding));
+    const dispatched = dispatcher.dispatch(makeRoute({ idempotent: false }), request);
+    await eventually(() => link.connections[1]?.isBuffering === true);
+    const [delayedRun, reattach] = link.connections;
+    reattach?.release();
+    // The attempt has its second grant, and the run request that uses it is buffered as well.
+    await eventually(
+      () => counts.slotRequests === 2 && link.connections.slice(1).some((c) => c.isBuffering),
+    );
     const before = counts.arrivals;
-    delayed?.release();
+    delayedRun?.release();
     await eventually(() => counts.arrivals > before);
-    link.open();
-    const { verdict } = await answered;
+    link.stopBuffering();
+    const { verdict } = await dispatched;
     t.deepEqual({ verdict: verdict.kind, runs: counts.runs }, { verdict: "done", runs: 1 });
   });
 }
