--- a/test/delayedRequest.test.ts
+++ b/test/delayedRequest.test.ts
@@ -63,8 +63,8 @@
     requestSlot: (_address, req) => {
       counts.slotRequests += 1;
       let ticket: ReturnType<Gate["requestSlot"]> | undefined;
-      const reply = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
-      return { answer: reply, giveUp: () => ticket?.withdraw() };
+      const answer = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
+      return { answer, giveUp: () => ticket?.withdraw() };
     },
   });
   const dispatcher = new Dispatcher({
