--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -6,8 +6,8 @@
 import { standIn } from "./fixtures/standIn.ts";
 import { withFleet } from "./fixtures/withFleet.ts";
 
-/** Log lines are gathered for a moment before they are written, ms. */
-const LOGS_WRITTEN_MS = 400;
+/** Time after which buffered log lines have been written to the log files, ms. */
+const LOG_FLUSH_MS = 400;
 
 const targets: readonly FleetTarget[] = [
   {
@@ -21,7 +21,7 @@
   { id: "door-0", service: "glenbrae-availability", zone: "zone-b", slots: 4 },
 ];
 
-/** Books a van through the sidecar of the desk; the id by which the logs tell of it. */
+/** Books a van through the sidecar `door-0`; returns the response's status and the attempt id that the logs use. */
 async function book(fleet: LocalFleet): Promise<{ status: number; attempt: string }> {
   const port = fleet.sidecars.get("door-0")?.ports.caller ?? 0;
   const url = `http://127.0.0.1:${port}/glenbrae/bookings/van`;
@@ -30,50 +30,53 @@
   return { status: res.status, attempt: res.headers.get("x-burdockpass-attempt") ?? "" };
 }
 
-const walks: readonly {
+const failures: readonly {
   name: string;
-  /** What goes wrong. */
-  fault: (fleet: LocalFleet) => Promise<unknown>;
+  /** Injects the fault. */
+  injectFault: (fleet: LocalFleet) => Promise<unknown>;
   status: number;
   cause: RegExp;
 }[] = [
   {
-    // The only van's VM is being emptied: the booking is refused at once, unrun, either by the
-    // sidecar beside the van or, once the desk's has heard of it, without asking there.
-    name: "refused early",
-    fault: (fleet) => standIn.drain(fleet, "vans-0"),
+    // The only target is draining: the booking is refused without being run, either by the target's local sidecar or,
+    // once the caller's sidecar has learned of the drain through gossip, without a slot request.
+    name: "refused because the only target drains",
+    injectFault: (fleet) => standIn.drain(fleet, "vans-0"),
     status: 503,
     cause: /not run: .*(refused.*leaving|no target of the service is known to take work)/,
   },
   {
-    // The target books the van and resets the connection: nobody knows the outcome.
+    // The target runs the booking and resets the connection without a response: the outcome is unknown.
     name: "ended as may-have-run",
-    fault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.AnswerLost),
+    injectFault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.AnswerLost),
     status: 502,
     cause: /may have run at vans-0: .*ended as no-answer/,
   },
   {
-    // The target answers with errors while its health endpoint says that all is well.
+    // The target responds with errors while its health endpoint reports that it is healthy.
     name: "failed by a gray target",
-    fault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.Error),
+    injectFault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.Error),
     status: 500,
     cause: /vans-0 failed it with 500/,
   },
 ];
 
-for (const { name, fault, status, cause } of walks) {
-  test.serial(`explain finds the cause from the id alone: ${name}`, async (t) => {
-    await withFleet(targets, async (fleet) => {
-      await fault(fleet);
-      const booked = await book(fleet);
-      t.is(booked.status, status);
-      await new Promise((r) => setTimeout(r, LOGS_WRITTEN_MS));
-      const logs = readdirSync(fleet.dir).filter((f) => f.endsWith(".log"));
-      const paths = logs.map((f) => join(fleet.dir, f));
-      const explained = await fleet.cli(["explain", booked.attempt, ...paths]);
-      t.log(explained.out.split("\n")[0]);
-      t.is(explained.code, 0, explained.err);
-      t.regex(explained.out.split("\n")[0] ?? "", cause);
-    });
-  });
+for (const { name, injectFault, status, cause } of failures) {
+  test.serial(
+    `explain finds the cause of a failure from the attempt id alone: ${name}`,
+    async (t) => {
+      await withFleet(targets, async (fleet) => {
+        await injectFault(fleet);
+        const booking = await book(fleet);
+        t.is(booking.status, status);
+        await new Promise((r) => setTimeout(r, LOG_FLUSH_MS));
+        const logs = readdirSync(fleet.dir).filter((f) => f.endsWith(".log"));
+        const paths = logs.map((f) => join(fleet.dir, f));
+        const explained = await fleet.cli(["explain", booking.attempt, ...paths]);
+        t.log(explained.out.split("\n")[0]);
+        t.is(explained.code, 0, explained.err);
+        t.regex(explained.out.split("\n")[0] ?? "", cause);
+      });
+    },
+  );
 }
