--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -6,13 +6,13 @@
 import { standIn } from "./fixtures/standIn.ts";
 import { withFleet } from "./fixtures/withFleet.ts";
 
-/** Work time of a booking, ms: long enough to be killed in the midst of. */
+/** Duration of a booking's run, ms: long enough for a process to be killed during it. */
 const WORK_MS = 500;
 
-/** Every sidecar whose target does something else: callers' way in, never beside a booking. */
-const DOORS = ["door-0", "door-1", "door-2"] as const;
+/** Sidecars that accept the callers' requests; their local targets belong to another service and run no bookings. */
+const ENTRY_SIDECARS = ["door-0", "door-1", "door-2"] as const;
 
-const door = (id: string, n: number): FleetTarget => ({
+const entryTarget = (id: string, n: number): FleetTarget => ({
   id,
   service: "glenbrae-availability",
   zone: `zone-${"abc"[n] ?? "a"}`,
@@ -29,9 +29,9 @@
     standInArgs,
   }));
 
-const fleetOf = (bookings: FleetTarget[]) => [...DOORS.map(door), ...bookings];
+const fleetOf = (bookings: FleetTarget[]) => [...ENTRY_SIDECARS.map(entryTarget), ...bookings];
 
-interface Answer {
+interface BookingResponse {
   readonly status: number;
   readonly verdict: string | null;
   readonly replayed: boolean;
@@ -39,8 +39,8 @@
   readonly body: string;
 }
 
-/** Books a van through the sidecar beside `via`; a dead sidecar gives status 0. */
-async function book(fleet: LocalFleet, via: string, key: string): Promise<Answer> {
+/** Books a van through the sidecar `via`; the status is 0 if the sidecar is down. */
+async function book(fleet: LocalFleet, via: string, key: string): Promise<BookingResponse> {
   const port = fleet.sidecars.get(via)?.ports.caller ?? 0;
   try {
     const res = await fetch(`http://127.0.0.1:${port}/glenbrae/bookings/van`, {
@@ -60,8 +60,12 @@
   }
 }
 
-/** Resends until there is a final answer: neither in progress nor refused for now. */
-async function resendUntilFinal(fleet: LocalFleet, via: string, key: string): Promise<Answer> {
+/** Resends a booking until its response is final: neither 409 (in progress) nor 503 (refused for now). */
+async function resendUntilFinal(
+  fleet: LocalFleet,
+  via: string,
+  key: string,
+): Promise<BookingResponse> {
   let last = await book(fleet, via, key);
   for (let i = 0; i < 40 && (last.status === 409 || last.status === 503); i++) {
     await new Promise((r) => setTimeout(r, 150));
@@ -73,11 +77,10 @@
 const sleep = (ms: number) => new Promise((r) => setTimeout(r, ms));
 
 test.serial(
-  "kill -9 of the callers' sidecar in the midst of a booking: one booking, and its answer",
+  "caller's sidecar killed during a booking: the booking runs once, and a resend gets its response",
   async (t) => {
-    // Story: a hirer books a van; the sidecar that took the request is killed
-    // while the van is being booked. The phone resends through another sidecar:
-    // it must get the answer of the booking that ran, and no second van.
+    // The sidecar that accepted a booking is killed (SIGKILL) during its run. The client resends through another
+    // sidecar: it must get the response of the booking that ran, without a second run.
     await withFleet(fleetOf(vans(3)), async (fleet) => {
       const first = book(fleet, "door-0", "kill-door");
       await sleep(WORK_MS / 2);
@@ -91,51 +94,49 @@
   },
 );
 
+test.serial("target's sidecar killed during a booking: never a second run", async (t) => {
+  // The target's local sidecar is killed during the run, and the target finishes the booking without being able to
+  // deliver its response. The response is lost: a resend must get `may-have-run` and must not run at another target.
+  await withFleet(fleetOf(vans(2, "--runs-on")), async (fleet) => {
+    const first = book(fleet, "door-0", "kill-beside");
+    const ranAt = await standIn.firstReceiver(fleet, ["vans-0", "vans-1"]);
+    await sleep(WORK_MS / 2);
+    await fleet.killSidecar(ranAt);
+    t.is((await first).verdict, "may-have-run");
+    const resend = await resendUntilFinal(fleet, "door-1", "kill-beside");
+    t.is(resend.verdict, "may-have-run");
+    await sleep(WORK_MS);
+    t.is(await standIn.runsOf(fleet, "kill-beside"), 1);
+  });
+});
+
 test.serial(
-  "kill -9 of the sidecar beside the target in the midst of a booking: never a second run",
+  "record holder loses its disk: a resend still finds the booking at another holder",
   async (t) => {
-    // Story: the same, but the sidecar killed is the one beside the target, and
-    // the target finishes the booking though nobody listens. Nobody can know its
-    // answer; the resend must be told so, not be run at another target.
-    await withFleet(fleetOf(vans(2, "--runs-on")), async (fleet) => {
-      const first = book(fleet, "door-0", "kill-beside");
-      const ranAt = await standIn.firstReceiver(fleet, ["vans-0", "vans-1"]);
-      await sleep(WORK_MS / 2);
-      await fleet.killSidecar(ranAt);
-      t.is((await first).verdict, "may-have-run");
-      const resend = await resendUntilFinal(fleet, "door-1", "kill-beside");
-      t.is(resend.verdict, "may-have-run");
-      await sleep(WORK_MS);
-      t.is(await standIn.runsOf(fleet, "kill-beside"), 1);
+    // After a booking, sidecars that may hold its idempotency record are restarted one after the other with empty data
+    // directories. A resend must still find the booking.
+    await withFleet(fleetOf(vans(2)), async (fleet) => {
+      const first = await book(fleet, "door-0", "lost-disk");
+      t.is(first.status, 200);
+      for (const id of ["vans-0", "vans-1"]) {
+        await fleet.killSidecar(id);
+        rmSync(fleet.sidecarDataDir(id), { recursive: true, force: true });
+        await fleet.restartSidecar(id);
+      }
+      await fleet.waitForTargets(5);
+      const resend = await resendUntilFinal(fleet, "door-1", "lost-disk");
+      t.is(resend.status, 200, resend.body);
+      t.is(resend.body, first.body);
+      t.is(await standIn.runsOf(fleet, "lost-disk"), 1);
     });
   },
 );
 
-test.serial("a lost disk: the records of the other keepers hold", async (t) => {
-  // Story: a van is booked, then a machine that kept the record loses its data
-  // folder and its sidecar starts empty. A resend must still find the booking.
-  await withFleet(fleetOf(vans(2)), async (fleet) => {
-    const first = await book(fleet, "door-0", "lost-disk");
-    t.is(first.status, 200);
-    for (const id of ["vans-0", "vans-1"]) {
-      await fleet.killSidecar(id);
-      rmSync(fleet.sidecarDataDir(id), { recursive: true, force: true });
-      await fleet.restartSidecar(id);
-    }
-    await fleet.waitForTargets(5);
-    const resend = await resendUntilFinal(fleet, "door-1", "lost-disk");
-    t.is(resend.status, 200, resend.body);
-    t.is(resend.body, first.body);
-    t.is(await standIn.runsOf(fleet, "lost-disk"), 1);
-  });
-});
-
 test.serial(
-  "a target frozen in the midst of a booking: a final answer at once, never a second run",
+  "target frozen during a booking: a final response at the deadline, never a second run",
   async (t) => {
-    // Story: the target's VM freezes while it books. The hirer must hear by the
-    // deadline that it may have run, with when to come back; when the VM thaws
-    // and finishes, a resend must not book again.
+    // The target's process is frozen during the run. The caller must get `may-have-run` with a Retry-After by the
+    // deadline; after the target has resumed and finished, a resend must not run the booking again.
     await withFleet(fleetOf(vans(1)), async (fleet) => {
       const startedAt = Date.now();
       const first = book(fleet, "door-0", "frozen");
@@ -143,26 +144,26 @@
       await sleep(WORK_MS / 2);
       const proc = fleet.targets.get("vans-0")?.proc;
       proc?.kill("SIGSTOP");
-      const answer = await first;
-      t.is(answer.status, 504);
-      t.truthy(answer.retryAfter);
-      t.true(Date.now() - startedAt < 2000 + 500, "answered at its deadline of 2 s");
+      const res = await first;
+      t.is(res.status, 504);
+      t.truthy(res.retryAfter);
+      t.true(Date.now() - startedAt < 2000 + 500, "response at its deadline of 2 s");
       proc?.kill("SIGCONT");
       await sleep(WORK_MS);
       const resend = await book(fleet, "door-1", "frozen");
       const runs = await standIn.runsOf(fleet, "frozen");
       t.true(runs <= 1);
-      // Beside load the sidecar beside the van may come to notice the deadline after the van's late answer has
-      // arrived: then the outcome is known, and the resend gets the answer of the one booking that ran.
+      // On a loaded machine the target's sidecar may process the deadline only after the late response has arrived. The
+      // outcome is then known, and the resend gets the response of the one booking that ran.
       const isReplay = resend.verdict === "done" && resend.replayed && runs === 1;
       t.true(isReplay || resend.verdict === "may-have-run", JSON.stringify(resend));
     });
   },
 );
 
-test.serial("an answer lost between target and sidecar: never a second run", async (t) => {
-  // Story: the target books the van, then its connection is reset before the
-  // answer is through. The booking stands; a resend must not make a second.
+test.serial("response lost between target and sidecar: never a second run", async (t) => {
+  // The target runs the booking, but its connection is reset before the response has been delivered. A resend must not
+  // run the booking a second time.
   await withFleet(fleetOf(vans(2)), async (fleet) => {
     for (const id of ["vans-0", "vans-1"]) {
       await standIn.setFault(fleet, id, FaultMode.AnswerLost);
@@ -176,9 +177,9 @@
   });
 });
 
-test.serial("one trace holds every hop of a booking", async (t) => {
-  // Story: a booking was slow; the person on call looks for its trace. It must
-  // show the sidecar that took it and the one beside the target under one id.
+test.serial("the spans of all sidecars that handle a booking share one trace id", async (t) => {
+  // To diagnose a slow booking, its trace must contain the spans of the sidecar that accepted it and of the target's
+  // local sidecar.
   await withFleet(fleetOf(vans(1)), async (fleet) => {
     t.is((await book(fleet, "door-0", "traced")).status, 200);
     const readSpans = () =>
@@ -188,7 +189,7 @@
           .split("\n")
           .map((line) => JSON.parse(line) as { name: string; traceId: string }),
       );
-    // The ingress span ends, and is written, just after the answer has gone out.
+    // The ingress span ends, and is written, just after the response has been sent.
     for (let i = 0; i < 40 && !readSpans().some((s) => s.name === "sidecar.ingress"); i++) {
       await sleep(50);
     }
