--- a/test/slowLink.test.ts
+++ b/test/slowLink.test.ts
@@ -21,26 +21,26 @@
 
 const log = bunyan.createLogger({ name: "test", level: "fatal" });
 
-/** One way: a round trip takes longer than a connection on a fast path is given for an answer, ms. */
+/** One-way delay, ms: a round trip takes longer than the time that a connection over a fast link has for a response. */
 const DELAY_MS = 700;
 
-/** Longer than a connection on a fast path is kept without an answer, ms. */
-const KEPT_MS = 2500;
+/** Longer than a connection over a fast link is kept open without a response, ms. */
+const PAST_IDLE_TIMEOUT_MS = 2500;
 
-/** The first document arrives over the slow link within this time: three round trips, and a failed try before, ms. */
-const FIRST_MS = 8000;
+/** Limit for the first document to arrive over the slow link, ms: three round trips after one failed attempt. */
+const FIRST_DOCUMENT_MS = 8000;
 
-/** A change arrives within this time: it crosses the link once, ms. */
-const CHANGE_MS = 2000;
+/** Limit for a change to arrive, ms: it crosses the link once. */
+const CHANGE_ARRIVAL_MS = 2000;
 
-/** A document of about `bytes`. */
+/** Builds a document of about `bytes` bytes. */
 function documentOf(bytes: number): OperatorDocument {
   const [limits, text] = [EMPTY_DOCUMENT.limits, "x".repeat(bytes)];
   return { ...EMPTY_DOCUMENT, limits, annotations: { text } } as unknown as OperatorDocument;
 }
 
-/** A follower of two control replicas, each behind a slow link. */
-async function rig(t: ExecutionContext) {
+/** Starts a control service behind two slow links, and a sidecar's config follower that watches it through both. */
+async function setUp(t: ExecutionContext) {
   const history = new DocumentHistory();
   const listeners = new Set<() => void>();
   const replica = {
@@ -93,60 +93,60 @@
   };
 }
 
-/** Waits for `version` to be in force; resolves with how long that took, ms. */
-async function inForce(follower: ConfigFollower, version: number): Promise<number> {
+/** Waits until the follower has `version`; resolves with the time that took, ms, or Infinity if it did not arrive. */
+async function waitForVersion(follower: ConfigFollower, version: number): Promise<number> {
   const startedAt = performance.now();
   await eventually(() => follower.version === version);
   return follower.version === version ? performance.now() - startedAt : Infinity;
 }
 
-test("a change reaches a sidecar whose link has become slower than the keepalive timeout", async (t) => {
-  const { links, follower, publish } = await rig(t);
+test("a document change reaches a sidecar whose link has become slower than the keepalive timeout", async (t) => {
+  const { links, follower, publish } = await setUp(t);
   publish(1);
   follower.start();
-  await inForce(follower, 1);
+  await waitForVersion(follower, 1);
   links.forEach((l) => (l.delayMs = DELAY_MS));
-  await sleep(KEPT_MS);
+  await sleep(PAST_IDLE_TIMEOUT_MS);
   publish(2);
-  const ms = await inForce(follower, 2);
-  t.true(ms < CHANGE_MS, `in force after ${ms} ms`);
+  const ms = await waitForVersion(follower, 2);
+  t.true(ms < CHANGE_ARRIVAL_MS, `version received after ${ms} ms`);
 });
 
 test("the first document reaches a sidecar whose link is slower than the time to open a watch", async (t) => {
-  const { links, follower, publish } = await rig(t);
+  const { links, follower, publish } = await setUp(t);
   publish(1);
   links.forEach((l) => (l.delayMs = DELAY_MS));
   follower.start();
-  const ms = await inForce(follower, 1);
-  t.true(ms < FIRST_MS, `in force after ${ms} ms`);
+  const ms = await waitForVersion(follower, 1);
+  t.true(ms < FIRST_DOCUMENT_MS, `version received after ${ms} ms`);
 });
 
-test("a large change reaches a sidecar whose link needs seconds for it", async (t) => {
-  const { links, follower, publish } = await rig(t);
+test("a large document change reaches a sidecar whose link takes seconds to transfer it", async (t) => {
+  const { links, follower, publish } = await setUp(t);
   publish(1);
   follower.start();
-  await inForce(follower, 1);
+  await waitForVersion(follower, 1);
   links.forEach((l) => (l.bytesPerS = 200_000));
   publish(2, 1_000_000);
-  const ms = await inForce(follower, 2);
-  t.true(ms < FIRST_MS, `in force after ${ms} ms`);
+  const ms = await waitForVersion(follower, 2);
+  t.true(ms < FIRST_DOCUMENT_MS, `version received after ${ms} ms`);
 });
 
-test("a change reaches a sidecar whose watches have gone silent without a reset", async (t) => {
-  const { links, follower, publish } = await rig(t);
+test("a document change reaches a sidecar whose watch connections drop all data without a reset", async (t) => {
+  const { links, follower, publish } = await setUp(t);
   publish(1);
   follower.start();
-  await inForce(follower, 1);
+  await waitForVersion(follower, 1);
   links.forEach((l) => {
     l.silence();
   });
-  await sleep(KEPT_MS);
+  await sleep(PAST_IDLE_TIMEOUT_MS);
   publish(2);
-  const ms = await inForce(follower, 2);
-  t.true(ms < CHANGE_MS, `in force after ${ms} ms`);
+  const ms = await waitForVersion(follower, 2);
+  t.true(ms < CHANGE_ARRIVAL_MS, `version received after ${ms} ms`);
 });
 
-test("a sidecar joins through a seed whose link is slower than the timeout of a call allows to connect", async (t) => {
+test("a sidecar joins through a seed to which a connection takes longer than the timeout of a call", async (t) => {
   const { service } = loadProto().Peer as grpc.ServiceClientConstructor;
   const server = new grpc.Server();
   const sync: grpc.handleUnaryCall<unknown, unknown> = (_call, cb) => {
@@ -164,15 +164,15 @@
     link.stop();
     await started.dispose();
   });
-  let isIn = false;
-  // As a member does that knows nobody: a call each second, whether or not the one before has ended.
+  let hasJoined = false;
+  // Like a member that knows no others, calls the seed every second, whether or not the previous call has ended.
   await eventually(async () => {
     void peers.sync(seed, []).then(
-      () => (isIn = true),
+      () => (hasJoined = true),
       () => undefined,
     );
     await sleep(1000);
-    return isIn;
+    return hasJoined;
   });
-  t.true(isIn);
+  t.true(hasJoined);
 });
