--- a/test/lifecycle.test.ts
+++ b/test/lifecycle.test.ts
@@ -45,7 +45,7 @@
     await sleep(3000);
     isDone = true;
     await load;
-    const counters = await standIn.effects(fleet, "avail-0");
+    const counters = await standIn.counters(fleet, "avail-0");
     return {
       lastReceivedAfterDrainMs: counters.lastReceivedAt - counters.drainedAt,
       statuses,
@@ -132,7 +132,7 @@
         return verdict === "not-run" && !isStopping ? book(n) : { status: res.status, verdict };
       };
       const bookings = received.map((_, n) => book(n));
-      await standIn.received(fleet, bookings.length).catch((err: unknown) => {
+      await standIn.waitForReceived(fleet, bookings.length).catch((err: unknown) => {
         t.fail(`${String(err)}; responses so far: ${received.join("; ")}; logs in ${fleet.dir}`);
         throw err;
       });
@@ -153,7 +153,7 @@
         `requests interrupted by the planned stop: ${received.join("; ")}; logs in ${fleet.dir}`,
       );
       t.is(code, 0);
-      const counts = await Promise.all(targets.map((x) => standIn.effects(fleet, x.id)));
+      const counts = await Promise.all(targets.map((x) => standIn.counters(fleet, x.id)));
       const runs = counts.flatMap((c) => Object.values(c.effects));
       t.is(runs.length, 8, received.join("; "));
       t.true(
@@ -216,7 +216,7 @@
       await load;
       const runs = new Map<string, number>();
       for (const { id } of vans) {
-        for (const [key, count] of Object.entries((await standIn.effects(fleet, id)).effects)) {
+        for (const [key, count] of Object.entries((await standIn.counters(fleet, id)).effects)) {
           runs.set(key, (runs.get(key) ?? 0) + count);
         }
       }
@@ -247,7 +247,7 @@
       const url = (port: number | undefined, path: string) =>
         `http://127.0.0.1:${port ?? 0}/${path}`;
       const slowRequest = fetch(url(stopped?.ports.caller, "oljelab/bookings/1"));
-      await standIn.received(fleet, 1);
+      await standIn.waitForReceived(fleet, 1);
       let isDone = false;
       const verdicts: (string | null)[] = [];
       const runCaller = async (n: number) => {
@@ -265,9 +265,9 @@
       await sleep(300);
       stopped?.proc.kill("SIGTERM");
       await sleep(500);
-      const before = (await standIn.effects(fleet, "vans-0")).received;
+      const before = (await standIn.counters(fleet, "vans-0")).received;
       await sleep(1000);
-      const after = (await standIn.effects(fleet, "vans-0")).received;
+      const after = (await standIn.counters(fleet, "vans-0")).received;
       const slowResponse = await slowRequest;
       isDone = true;
       await load;
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -89,7 +89,7 @@
       const resend = await resendUntilFinal(fleet, "door-1", "kill-door");
       t.is(resend.status, 200);
       t.true(resend.replayed);
-      t.is(await standIn.runsOf(fleet, "kill-door"), 1);
+      t.is(await standIn.countRuns(fleet, "kill-door"), 1);
     });
   },
 );
@@ -99,14 +99,14 @@
   // deliver its response. The response is lost: a resend must get `may-have-run` and must not run at another target.
   await withFleet(fleetOf(vans(2, "--runs-on")), async (fleet) => {
     const first = book(fleet, "door-0", "kill-beside");
-    const ranAt = await standIn.firstReceiver(fleet, ["vans-0", "vans-1"]);
+    const ranAt = await standIn.waitForFirstReceiver(fleet, ["vans-0", "vans-1"]);
     await sleep(WORK_MS / 2);
     await fleet.killSidecar(ranAt);
     t.is((await first).verdict, "may-have-run");
     const resend = await resendUntilFinal(fleet, "door-1", "kill-beside");
     t.is(resend.verdict, "may-have-run");
     await sleep(WORK_MS);
-    t.is(await standIn.runsOf(fleet, "kill-beside"), 1);
+    t.is(await standIn.countRuns(fleet, "kill-beside"), 1);
   });
 });
 
@@ -127,7 +127,7 @@
       const resend = await resendUntilFinal(fleet, "door-1", "lost-disk");
       t.is(resend.status, 200, resend.body);
       t.is(resend.body, first.body);
-      t.is(await standIn.runsOf(fleet, "lost-disk"), 1);
+      t.is(await standIn.countRuns(fleet, "lost-disk"), 1);
     });
   },
 );
@@ -140,7 +140,7 @@
     await withFleet(fleetOf(vans(1)), async (fleet) => {
       const startedAt = Date.now();
       const first = book(fleet, "door-0", "frozen");
-      await standIn.firstReceiver(fleet, ["vans-0"]);
+      await standIn.waitForFirstReceiver(fleet, ["vans-0"]);
       await sleep(WORK_MS / 2);
       const proc = fleet.targets.get("vans-0")?.proc;
       proc?.kill("SIGSTOP");
@@ -151,7 +151,7 @@
       proc?.kill("SIGCONT");
       await sleep(WORK_MS);
       const resend = await book(fleet, "door-1", "frozen");
-      const runs = await standIn.runsOf(fleet, "frozen");
+      const runs = await standIn.countRuns(fleet, "frozen");
       t.true(runs <= 1);
       // On a loaded machine the target's sidecar may process the deadline only after the late response has arrived. The
       // outcome is then known, and the resend gets the response of the one booking that ran.
@@ -173,7 +173,7 @@
       await standIn.setFault(fleet, id, FaultMode.None);
     }
     t.is((await book(fleet, "door-1", "lost")).verdict, "may-have-run");
-    t.is(await standIn.runsOf(fleet, "lost"), 1);
+    t.is(await standIn.countRuns(fleet, "lost"), 1);
   });
 });
 
