--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -194,7 +194,7 @@
   #broadcastLoad({ name }: SimVm, load: GateLoad): void {
     this.#clock.after(LOAD_UPDATE_MS, () => {
       for (const { policy } of this.#sidecars.values()) {
-        policy.noteLoad(TargetId(name), load);
+        policy.recordLoad(TargetId(name), load);
       }
     });
   }
@@ -317,7 +317,7 @@
       origin: isNestedCall ? RequestOrigin.TargetVm : RequestOrigin.Elsewhere,
       startedAt: this.#clock.now(),
       deadlineAt,
-      left: new AbortController().signal,
+      disconnected: new AbortController().signal,
     });
     if (result?.verdict.kind === "not-run") {
       return "refused";
@@ -326,7 +326,10 @@
   }
 
   /** Runs a request at the target of `vm`, with the nested calls of its kind. */
-  async #runAtTarget(vm: SimVm, { words, deadlineAt }: TargetRequest): Promise<ForwardResult> {
+  async #runAtTarget(
+    vm: SimVm,
+    { metadata: words, deadlineAt }: TargetRequest,
+  ): Promise<ForwardResult> {
     const { attempt } = words;
     const kind = this.#kinds.get(attempt.split("/")[0] ?? "");
     const target = this.#targets.get(vm.name);
--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -61,7 +61,7 @@
         withdraw = () => {
           ticket.withdraw();
         };
-        if (ticket.queued) {
+        if (ticket.isQueued) {
           const { load } = gate;
           reply(() => {
             onQueued(load);
@@ -70,8 +70,8 @@
       });
     });
     return {
-      answer,
-      giveUp: () => {
+      result: answer,
+      cancel: () => {
         cancelled = true;
         this.#deliver(address, () => {
           withdraw();
@@ -109,16 +109,16 @@
         onUnreachable,
       );
     });
-    return { answer, giveUp: () => undefined };
+    return { result: answer, cancel: () => undefined };
   }
 
-  join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
+  reattach(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
     const answer = new Promise<ForwardResult>((resolve) => {
       this.#deliver(address, ({ runner }, reply) => {
         this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onAlive, resolve);
       });
     });
-    return { answer, giveUp: () => undefined };
+    return { result: answer, cancel: () => undefined };
   }
 
   /** Replies with the result of a run when it ends; until then, signals that the run is in progress. */
@@ -152,7 +152,7 @@
       path,
       headers,
       body,
-      words: { attempt, target, callerService, echoHeader: undefined },
+      metadata: { attempt, target, callerService, echoHeader: undefined },
       deadlineAt: this.#deps.clock.now() + req.remainingMs,
       idempotent,
     };
@@ -199,6 +199,6 @@
   const verdict = { kind: "may-have-run", target, reason, timedOut: false, retryAfterMs: 0 };
   return Promise.resolve({
     verdict,
-    outcome: AttemptOutcome.NoAnswer,
+    outcome: AttemptOutcome.NoResponse,
   } as ForwardResult);
 }
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -149,7 +149,7 @@
     const parts = {
       beginStop: () => undefined,
       closeCallers: () => this.#waitForCallers(),
-      refuseWaiting: () => {
+      refuseQueued: () => {
         this.#dispatcher.close();
       },
       gates: this.gate,
@@ -184,12 +184,12 @@
     const { vm, clock, onHealthChange: onJudged, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
-      target: () => ({ slots: vm.slots, takesWork: true }),
+      target: () => ({ slots: vm.slots, acceptsRequests: true }),
       detector: new GrayFailureDetector({ rule: () => rule, clock, log }),
-      waitsForCall: (since) => runs.hasOpenCall(since),
+      mayAwaitNestedCall: (since) => runs.hasOpenNestedCall(since),
       clock,
       grants: this.#grants,
-      onJudged,
+      onHealthChange: onJudged,
       ...variant.gate,
     });
   }
@@ -200,7 +200,7 @@
     return new TargetRunner({
       gates: { get: () => this.gate },
       runs: new RunTable(clock),
-      here,
+      activeRuns: here,
       target: () => this.#table.target(id),
       send: (_target, req) => runAtTarget(req),
       grants: this.#grants,
@@ -216,7 +216,7 @@
       callerService: vm.service,
       budgets: this.budgets,
       borrower: this.#createTokenBorrower(),
-      calls: new TrafficClassifier({ runs, log }),
+      classifier: new TrafficClassifier({ runs, log }),
       clock,
       log,
     });
@@ -240,7 +240,11 @@
       [...sidecars.values()]
         .filter((s) => s.vm.zone === vm.zone && s !== this)
         .map((s) => s.vm.name);
-    return new RetryTokenBorrower({ lenders, ask: (...args) => this.hop.borrow(...args), random });
+    return new RetryTokenBorrower({
+      lenders,
+      requestToken: (...args) => this.hop.borrow(...args),
+      random,
+    });
   }
 }
 
--- a/experiment/variants.ts
+++ b/experiment/variants.ts
@@ -1,7 +1,7 @@
 import type { QueuedRequest } from "../src/sidecar/gate/QueuedRequest.ts";
 import type { Variant } from "./Variant.ts";
 
-const objectiveAt = ({ request, askedAt }: QueuedRequest) => askedAt + request.objectiveMs;
+const objectiveAt = ({ request, receivedAt }: QueuedRequest) => receivedAt + request.objectiveMs;
 
 /** Strict priority; within a priority, earliest objective first among requests that can still meet theirs. */
 function byPriority(a: QueuedRequest, b: QueuedRequest, now: number, serviceMs: number): boolean {
@@ -12,11 +12,11 @@
   if (lateA !== lateB) {
     return lateB === true;
   }
-  return lateA ? a.askedAt < b.askedAt : objectiveAt(a) < objectiveAt(b);
+  return lateA ? a.receivedAt < b.receivedAt : objectiveAt(a) < objectiveAt(b);
 }
 
 /** First come, first served, as in a queue at the target itself. */
-const byArrival = (a: QueuedRequest, b: QueuedRequest) => a.askedAt < b.askedAt;
+const byArrival = (a: QueuedRequest, b: QueuedRequest) => a.receivedAt < b.receivedAt;
 
 /** The policies that the experiment compares. */
 export const variants: readonly Variant[] = [
--- a/soak/FaultPlayer.ts
+++ b/soak/FaultPlayer.ts
@@ -16,9 +16,9 @@
 
 const TARGET_MODES: Readonly<Partial<Record<FaultKind, FaultMode>>> = {
   [FaultKind.TargetGray]: FaultMode.Gray,
-  [FaultKind.TargetSheds]: FaultMode.Sheds,
+  [FaultKind.TargetSheds]: FaultMode.Shedding,
   [FaultKind.TargetSlow]: FaultMode.Slow,
-  [FaultKind.TargetResponseLost]: FaultMode.AnswerLost,
+  [FaultKind.TargetResponseLost]: FaultMode.ResponseLost,
   [FaultKind.TargetTruncates]: FaultMode.Truncate,
   [FaultKind.TargetSilent]: FaultMode.Silent,
 };
--- a/src/common/document/DocumentHistory.test.ts
+++ b/src/common/document/DocumentHistory.test.ts
@@ -55,7 +55,7 @@
   test(`take: ${c.name}`, (t) => {
     const history = new DocumentHistory();
     t.deepEqual(
-      c.updates.map((u) => history.take(u)),
+      c.updates.map((u) => history.apply(u)),
       c.results,
     );
     t.is(history.version, c.version);
@@ -64,18 +64,18 @@
 
 test("since: a peer slightly behind gets the edits, one further behind the whole document", (t) => {
   const history = new DocumentHistory();
-  history.take(whole(3));
-  history.take(edit(3, 4));
-  history.take(edit(4, 9, "b"));
+  history.apply(whole(3));
+  history.apply(edit(3, 4));
+  history.apply(edit(4, 9, "b"));
   t.deepEqual(
-    history.since(4).map((u) => u.version),
+    history.updatesSince(4).map((u) => u.version),
     [9],
   );
   t.deepEqual(
-    history.since(3).map((u) => u.version),
+    history.updatesSince(3).map((u) => u.version),
     [4, 9],
   );
-  t.deepEqual(history.since(1), [history.whole]);
-  t.deepEqual(history.since(9), []);
-  t.deepEqual(history.since(12), []);
+  t.deepEqual(history.updatesSince(1), [history.whole]);
+  t.deepEqual(history.updatesSince(9), []);
+  t.deepEqual(history.updatesSince(12), []);
 });
--- a/src/common/document/DocumentHistory.ts
+++ b/src/common/document/DocumentHistory.ts
@@ -31,7 +31,7 @@
    * Applies a newer version. Returns `stale` for one that is not newer, and `gap` for
    * an edit whose base is not the current version: the whole document is needed then.
    */
-  take(update: DocumentUpdate): "taken" | "stale" | "gap" {
+  apply(update: DocumentUpdate): "taken" | "stale" | "gap" {
     if (update.version <= this.#version) {
       return "stale";
     }
@@ -50,7 +50,7 @@
   }
 
   /** Updates, in order, that bring a peer from `version` to the current version; empty when it is up to date. */
-  since(version: number): readonly DocumentUpdate[] {
+  updatesSince(version: number): readonly DocumentUpdate[] {
     if (version >= this.#version) {
       return [];
     }
--- a/src/common/document/parseOperatorDocument.ts
+++ b/src/common/document/parseOperatorDocument.ts
@@ -23,7 +23,7 @@
   }
   const problems = [
     ...checked.issues.flatMap((issue) => source.problemsOf(issue)),
-    ...checked.across.map((v) => source.problemAt(v.path, v.message)),
+    ...checked.violations.map((v) => source.problemAt(v.path, v.message)),
   ];
   return { ok: false, problems: problems.sort((a, b) => a.line - b.line) };
 }
--- a/src/common/document/validateDocument.ts
+++ b/src/common/document/validateDocument.ts
@@ -8,7 +8,7 @@
   | {
       readonly ok: false;
       readonly issues: readonly z.core.$ZodIssue[];
-      readonly across: readonly Violation[];
+      readonly violations: readonly Violation[];
     };
 
 /** Validates a parsed document from any source: each field against the schema, and the rules across fields. */
@@ -18,5 +18,5 @@
   if (checked.success && across.length === 0) {
     return { ok: true, doc: checked.data };
   }
-  return { ok: false, issues: checked.success ? [] : checked.error.issues, across };
+  return { ok: false, issues: checked.success ? [] : checked.error.issues, violations: across };
 }
--- a/src/common/rpc/ControlClient.ts
+++ b/src/common/rpc/ControlClient.ts
@@ -2,7 +2,7 @@
 import { CHANNEL_OPTIONS } from "./CHANNEL_OPTIONS.ts";
 import { loadProto } from "./loadProto.ts";
 import { meterService } from "./meterService.ts";
-import type { NoteBytes } from "./NoteBytes.ts";
+import type { MessageSizeListener } from "./MessageSizeListener.ts";
 import type { ProtoTypes } from "./ProtoTypes.ts";
 
 type Unary<Req, Res> = (
@@ -18,7 +18,7 @@
 };
 
 /** Creates a client of the control replica at `address` (host:port, no TLS); `onMessage` is called for every message. */
-export const ControlClient = (address: string, onMessage?: NoteBytes): ControlClient => {
+export const ControlClient = (address: string, onMessage?: MessageSizeListener): ControlClient => {
   const { service } = loadProto().Control as grpc.ServiceClientConstructor;
   const meteredService = onMessage ? meterService(service, onMessage) : service;
   const ctor = grpc.makeGenericClientConstructor(meteredService, "Control");
--- a/src/common/rpc/NoteBytes.ts
+++ b/src/common/rpc/MessageSizeListener.ts
@@ -1,2 +1,2 @@
 /** Called with the encoded size of each message sent or received, and the RPC method. */
-export type NoteBytes = (method: string, bytes: number) => void;
+export type MessageSizeListener = (method: string, bytes: number) => void;
--- a/src/common/rpc/RenewedClient.ts
+++ b/src/common/rpc/ReconnectingClient.ts
@@ -6,14 +6,14 @@
 const FAILURES_BEFORE_RECONNECT = 2;
 
 /** When a client closes or replaces its connection. */
-interface RenewedClientOptions {
+interface ReconnectingClientOptions {
   /** The connection is closed after this long without a call, ms, and opened again by the next call. */
   readonly idleMs?: number;
   /**
    * Upper limit of the consecutive failures after which the connection is considered dead. The number doubles with
    * each connection on which no call succeeds, because on a slow link, opening a connection takes longer than a call.
    */
-  readonly mostFailures?: number;
+  readonly maxFailures?: number;
 }
 
 /**
@@ -22,7 +22,7 @@
  * lost in a network partition, the connection can stay stuck for tens of seconds
  * after the network has recovered; a new connection works at once.
  */
-export class RenewedClient<T extends grpc.Client> implements IDisposable {
+export class ReconnectingClient<T extends grpc.Client> implements IDisposable {
   readonly #createClient: () => T;
   readonly #idleMs: number;
   readonly #maxFailures: number;
@@ -35,10 +35,10 @@
   constructor(
     ctor: grpc.ServiceClientConstructor,
     address: string,
-    { idleMs = Infinity, mostFailures = FAILURES_BEFORE_RECONNECT }: RenewedClientOptions = {},
+    { idleMs = Infinity, maxFailures = FAILURES_BEFORE_RECONNECT }: ReconnectingClientOptions = {},
   ) {
     this.#idleMs = idleMs;
-    this.#maxFailures = mostFailures;
+    this.#maxFailures = maxFailures;
     this.#createClient = () =>
       new ctor(address, grpc.credentials.createInsecure(), {
         ...CHANNEL_OPTIONS,
--- a/src/common/rpc/VersionParts.ts
+++ b/src/common/rpc/VersionJoiner.ts
@@ -3,7 +3,7 @@
 type ConfigVersion = ProtoTypes["ConfigVersion"];
 
 /** Joins the parts of a document version, made by {@link splitVersion}, as they arrive. */
-export class VersionParts {
+export class VersionJoiner {
   #documents: string[] = [];
   #edits: string[] = [];
 
--- a/src/common/rpc/documentWire.ts
+++ b/src/common/rpc/documentCodec.ts
@@ -16,7 +16,7 @@
  * Documents that control has accepted are not validated again: a sidecar takes 1 ms to
  * parse 350 routes as JSON, and about 60 ms to parse them as YAML and validate them.
  */
-export const documentWire = {
+export const documentCodec = {
   encode: (update: DocumentUpdate): ProtoTypes["ConfigVersion"] =>
     update.kind === "whole"
       ? { ...EMPTY, version: update.version, document: JSON.stringify(update.document) }
--- a/src/common/rpc/meterService.ts
+++ b/src/common/rpc/meterService.ts
@@ -1,5 +1,5 @@
 import type * as grpc from "@grpc/grpc-js";
-import type { NoteBytes } from "./NoteBytes.ts";
+import type { MessageSizeListener } from "./MessageSizeListener.ts";
 
 /**
  * Wraps a service definition so that `onMessage` is called with the size of every
@@ -8,7 +8,7 @@
  */
 export function meterService(
   service: grpc.ServiceDefinition,
-  onMessage: NoteBytes,
+  onMessage: MessageSizeListener,
 ): grpc.ServiceDefinition {
   const metered = Object.entries(service).map(([name, method]) => {
     const meterEncoding = <T>(encode: (value: T) => Buffer) => {
--- a/src/common/rpc/splitVersion.test.ts
+++ b/src/common/rpc/splitVersion.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
-import { documentWire } from "./documentWire.ts";
+import { documentCodec } from "./documentCodec.ts";
 import { splitVersion } from "./splitVersion.ts";
-import { VersionParts } from "./VersionParts.ts";
+import { VersionJoiner } from "./VersionJoiner.ts";
 
 const texts: readonly { name: string; text: string; parts: number }[] = [
   { name: "short", text: "short", parts: 1 },
@@ -17,14 +17,14 @@
 for (const { name, text, parts } of texts) {
   for (const field of ["document", "edit"] as const) {
     test(`version parts: a ${field} that is ${name} is joined without change`, (t) => {
-      const whole = { ...documentWire.heartbeat(7), base: 3, [field]: text };
+      const whole = { ...documentCodec.heartbeat(7), base: 3, [field]: text };
       // As on the wire, each part is encoded as UTF-8 separately.
       const sent = splitVersion(whole).map((part) => ({
         ...part,
         [field]: Buffer.from(part[field]).toString(),
       }));
       t.is(sent.length, parts);
-      const joiner = new VersionParts();
+      const joiner = new VersionJoiner();
       const joined = sent.map((part) => joiner.add(part));
       t.true(joined.slice(0, -1).every((j) => j === undefined));
       t.deepEqual(joined.at(-1), whole);
--- a/src/common/telemetry/FileTracing.ts
+++ b/src/common/telemetry/FileTracing.ts
@@ -26,7 +26,7 @@
     this.#tracer = new BasicTracerProvider({ spanProcessors }).getTracer(name);
   }
 
-  begin(name: string, headers: IncomingHttpHeaders): HopSpan {
+  startSpan(name: string, headers: IncomingHttpHeaders): HopSpan {
     const parent = propagator.extract(ROOT_CONTEXT, headers, defaultTextMapGetter);
     return this.#start(name, SpanKind.SERVER, parent);
   }
@@ -38,7 +38,7 @@
     propagator.inject(ctx, headers, defaultTextMapSetter);
     return {
       headers,
-      child: (childName) => this.#start(childName, SpanKind.CLIENT, ctx),
+      startChild: (childName) => this.#start(childName, SpanKind.CLIENT, ctx),
       end: (verdict, isSuccess) => {
         span.setAttribute("burdockpass.verdict", verdict);
         span.setStatus({ code: isSuccess ? SpanStatusCode.OK : SpanStatusCode.ERROR });
--- a/src/common/telemetry/Tracing.ts
+++ b/src/common/telemetry/Tracing.ts
@@ -5,7 +5,7 @@
   /** Headers that propagate the trace context to the next hop; empty when tracing is off. */
   readonly headers: Readonly<Record<string, string>>;
   /** Starts a child span within this one. */
-  child(name: string): HopSpan;
+  startChild(name: string): HopSpan;
   /** Ends the span with the request's verdict; `isSuccess` when a response was received. */
   end(verdict: string, isSuccess: boolean): void;
 }
@@ -13,5 +13,5 @@
 /** Records a trace span for each hop of a request. */
 export interface Tracing {
   /** Starts the span of a request that was received with `headers`. */
-  begin(name: string, headers: IncomingHttpHeaders): HopSpan;
+  startSpan(name: string, headers: IncomingHttpHeaders): HopSpan;
 }
--- a/src/common/telemetry/noTracing.ts
+++ b/src/common/telemetry/noTracing.ts
@@ -2,9 +2,9 @@
 
 const NO_SPAN: HopSpan = {
   headers: {},
-  child: () => NO_SPAN,
+  startChild: () => NO_SPAN,
   end: () => undefined,
 };
 
 /** Records nothing; the caller's trace context is forwarded unchanged. */
-export const noTracing: Tracing = { begin: () => NO_SPAN };
+export const noTracing: Tracing = { startSpan: () => NO_SPAN };
--- a/src/control/ControlRole.ts
+++ b/src/control/ControlRole.ts
@@ -40,9 +40,9 @@
   leaseMs: 700,
   electionMinMs: 800,
   electionMaxMs: 1500,
-  proposeMs: 2500,
+  commitTimeoutMs: 2500,
   replaceAfterMs: 1500,
-  joinMs: 300,
+  joinIntervalMs: 300,
 };
 
 /** Maximum time that a stop waits for open calls, such as document watches, to end, ms. */
@@ -97,7 +97,7 @@
     server.addService(
       peerService,
       peerHandlers(membership, {
-        since: (version: number) => replica.state.history.since(version),
+        since: (version: number) => replica.state.history.updatesSince(version),
       }),
     );
     const { port } = this.register(await startGrpcServer(server, listen, STOP_GRACE_MS));
@@ -179,7 +179,7 @@
         documents: documentVersionOf(replica),
         clock: SystemClock,
         random: Math.random,
-        onNews: logMemberUpdates(this.#log),
+        onMemberUpdates: logMemberUpdates(this.#log),
       }),
     );
   }
--- a/src/control/link/GrpcReplicaLink.ts
+++ b/src/control/link/GrpcReplicaLink.ts
@@ -2,11 +2,11 @@
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
 import { callUnary } from "../../common/rpc/callUnary.ts";
 import { loadProto } from "../../common/rpc/loadProto.ts";
-import { RenewedClient } from "../../common/rpc/RenewedClient.ts";
+import { ReconnectingClient } from "../../common/rpc/ReconnectingClient.ts";
 import type { ReplicaLink } from "../replica/ReplicaLink.ts";
 import type { ReplicaReply, ReplicaRequest } from "../replica/ReplicaMessages.ts";
 import type { ReplicaProto } from "./ReplicaProto.ts";
-import { replicaWire } from "./replicaWire.ts";
+import { replicaCodec } from "./replicaCodec.ts";
 
 /** Deadline of a call, ms; a sync takes a few, and sending a whole log of 2 MB takes some tens. */
 const CALL_TIMEOUT_MS = 600;
@@ -26,7 +26,7 @@
 /** A {@link ReplicaLink} over gRPC, with one connection to each replica. */
 export class GrpcReplicaLink implements ReplicaLink, IDisposable {
   readonly #clientClass = loadProto("replica").Replica as grpc.ServiceClientConstructor;
-  readonly #clients = new Map<string, RenewedClient<ReplicaClient>>();
+  readonly #clients = new Map<string, ReconnectingClient<ReplicaClient>>();
 
   send(address: string, req: ReplicaRequest, onReply: (reply: ReplicaReply) => void): void {
     // Errors are ignored: the protocol tolerates lost messages. The sender retries on its own
@@ -43,10 +43,10 @@
     this.#clients.clear();
   }
 
-  #client(address: string): RenewedClient<ReplicaClient> {
+  #client(address: string): ReconnectingClient<ReplicaClient> {
     let client = this.#clients.get(address);
     if (!client) {
-      client = new RenewedClient(this.#clientClass, address);
+      client = new ReconnectingClient(this.#clientClass, address);
       this.#clients.set(address, client);
     }
     return client;
@@ -57,12 +57,12 @@
   switch (req.kind) {
     case "vote": {
       const vote = client.Vote.bind(client);
-      return replicaWire.decodeVoteReply(await callUnary(vote, req, CALL_TIMEOUT_MS));
+      return replicaCodec.decodeVoteReply(await callUnary(vote, req, CALL_TIMEOUT_MS));
     }
     case "append": {
       const append = client.Append.bind(client);
-      const raw = await callUnary(append, replicaWire.encodeAppend(req), CALL_TIMEOUT_MS);
-      return replicaWire.decodeAppendReply(raw);
+      const raw = await callUnary(append, replicaCodec.encodeAppend(req), CALL_TIMEOUT_MS);
+      return replicaCodec.decodeAppendReply(raw);
     }
     case "join": {
       const { leader } = await callUnary(client.Join.bind(client), req, CALL_TIMEOUT_MS);
--- a/src/control/link/replicaWire.ts
+++ b/src/control/link/replicaCodec.ts
@@ -7,7 +7,7 @@
 type Proto<K extends keyof ReplicaProto> = ReplicaProto[K];
 
 /** Converts messages between replicas to and from the types of `proto/replica.proto`. */
-export const replicaWire = {
+export const replicaCodec = {
   encodeAppend: (req: AppendRequest): Proto<"AppendRequest"> => ({
     ...req,
     entries: req.entries.map((e) => ({ ...e, body: JSON.stringify(e.body) })),
--- a/src/control/link/replicaHandlers.ts
+++ b/src/control/link/replicaHandlers.ts
@@ -2,7 +2,7 @@
 import { ReplicaId } from "../../common/ids/ReplicaId.ts";
 import type { Replica } from "../replica/Replica.ts";
 import type { ReplicaProto } from "./ReplicaProto.ts";
-import { replicaWire } from "./replicaWire.ts";
+import { replicaCodec } from "./replicaCodec.ts";
 
 type Handler<Req extends keyof ReplicaProto, Res extends keyof ReplicaProto> = grpc.handleUnaryCall<
   ReplicaProto[Req],
@@ -12,12 +12,12 @@
 /** gRPC handlers for the requests of other replicas. */
 export function replicaHandlers(replica: Replica): grpc.UntypedServiceImplementation {
   const vote: Handler<"VoteRequest", "VoteReply"> = (call, cb) => {
-    const reply = replica.receive(replicaWire.decodeVote(call.request));
-    cb(null, replicaWire.encodeVoteReply(reply));
+    const reply = replica.receive(replicaCodec.decodeVote(call.request));
+    cb(null, replicaCodec.encodeVoteReply(reply));
   };
   const append: Handler<"AppendRequest", "AppendReply"> = (call, cb) => {
-    const reply = replica.receive(replicaWire.decodeAppend(call.request));
-    cb(null, replicaWire.encodeAppendReply(reply));
+    const reply = replica.receive(replicaCodec.decodeAppend(call.request));
+    cb(null, replicaCodec.encodeAppendReply(reply));
   };
   const join: Handler<"JoinRequest", "JoinReply"> = (call, cb) => {
     const { replica: learner } = call.request;
--- a/src/control/log/ConfigState.ts
+++ b/src/control/log/ConfigState.ts
@@ -18,7 +18,7 @@
   constructor(from?: ConfigSnapshot) {
     this.#accepted = new Map(from?.accepted);
     if (from) {
-      this.history.take({ kind: "whole", version: from.version, document: from.document });
+      this.history.apply({ kind: "whole", version: from.version, document: from.document });
     }
   }
 
@@ -38,7 +38,7 @@
 
   /** Applies the next committed change. */
   apply({ version, orderId, edit }: AcceptedChange): void {
-    this.history.take({ kind: "edit", base: this.version, version, edit });
+    this.history.apply({ kind: "edit", base: this.version, version, edit });
     this.#accepted.set(orderId, version);
     const [oldest] = this.#accepted.keys();
     if (this.#accepted.size > MAX_REMEMBERED_REQUESTS && oldest !== undefined) {
--- a/src/control/replica/LeaderTerm.ts
+++ b/src/control/replica/LeaderTerm.ts
@@ -315,7 +315,7 @@
           settle(!this.#ended && condition());
         }
       };
-      const timer = clock.after(timing.proposeMs, () => {
+      const timer = clock.after(timing.commitTimeoutMs, () => {
         settle(false);
       });
       this.#waiters.add(check);
--- a/src/control/replica/Replica.test.ts
+++ b/src/control/replica/Replica.test.ts
@@ -1,7 +1,7 @@
 import test from "ava";
 import { ControlModel } from "../../../test/fixtures/ControlModel.ts";
 
-const versions = (m: ControlModel) => m.up.map((a) => m.replica(a).state.version);
+const versions = (m: ControlModel) => m.runningAddresses.map((a) => m.replica(a).state.version);
 
 /** The two followers in a group of three. */
 const followers = (m: ControlModel, leader: string): [string, string] => {
@@ -12,7 +12,7 @@
 for (const count of [1, 3, 5]) {
   test(`${count} replicas elect a leader and replicate an accepted version to all of them`, async (t) => {
     const m = new ControlModel(count);
-    await m.untilLed();
+    await m.waitForLeader();
     await m.run(2000);
     t.is(await m.apply(), "committed");
     await m.run(300);
@@ -25,7 +25,7 @@
   // two may be lost at once. A change acknowledged by only two of the first three would
   // be lost with the disks of those two.
   const m = new ControlModel(5);
-  const leader = await m.untilLed();
+  const leader = await m.waitForLeader();
   t.false(m.replica(leader).isGroupComplete);
   await m.run(3000);
   t.true(m.replica(m.leader ?? "").isGroupComplete);
@@ -36,10 +36,10 @@
   // The leader loses power right after it has acknowledged a change. The next leader
   // must have that change.
   const m = new ControlModel(3);
-  const old = await m.untilLed();
+  const old = await m.waitForLeader();
   t.is(await m.apply(), "committed");
   m.kill(old);
-  const next = await m.untilLed();
+  const next = await m.waitForLeader();
   t.not(next, old);
   t.is(m.replica(next).state.version, 1);
   t.is(await m.apply(), "committed");
@@ -52,12 +52,12 @@
   // The leader's VM is cut off for hours while operators submit changes to the others.
   // Sidecars and operators on its side must not be served the outdated document.
   const m = new ControlModel(3);
-  const old = await m.untilLed();
+  const old = await m.waitForLeader();
   await m.apply();
   m.isolate(old);
   const stuck = m.apply(old);
   await m.run(4000);
-  const next = await m.untilLed();
+  const next = await m.waitForLeader();
   t.not(next, old);
   t.not(await stuck, "committed");
   t.false(m.replica(old).inTouch);
@@ -93,7 +93,7 @@
     // A switch fails in one direction. If the leader kept sending heartbeats to which no
     // reply arrives, no change could be accepted until an operator intervened.
     const m = new ControlModel(3);
-    const old = await m.untilLed();
+    const old = await m.waitForLeader();
     for (const other of followers(m, old)) {
       c.cut(m, old, other);
     }
@@ -108,7 +108,7 @@
   // A follower is cut off for a long time and keeps requesting votes. Its return must not
   // cause an election.
   const m = new ControlModel(3);
-  const leader = await m.untilLed();
+  const leader = await m.waitForLeader();
   const [isolated] = followers(m, leader);
   m.isolate(isolated);
   await m.run(20_000);
@@ -127,7 +127,7 @@
     // and then a is lost. If b voted at once, it and c, which does not have version 1,
     // could elect a leader, and version 1 would be lost.
     const m = new ControlModel(3, 5);
-    const a = await m.untilLed();
+    const a = await m.waitForLeader();
     const [b, c] = followers(m, a);
     m.isolate(c);
     t.is(await m.apply(a), "committed");
@@ -141,7 +141,7 @@
     } else {
       t.is(m.leader, undefined);
       m.boot(a);
-      await m.untilLed();
+      await m.waitForLeader();
       await m.run(1000);
       t.deepEqual(versions(m), [1, 1, 1]);
     }
@@ -154,7 +154,7 @@
   // five run, and none of them has version 2. They must not elect a leader, which would
   // serve an old version and lose version 2.
   const m = new ControlModel(5);
-  await m.untilLed();
+  await m.waitForLeader();
   await m.run(3000);
   t.is(await m.apply(), "committed");
   await m.run(300);
@@ -174,14 +174,14 @@
   t.is(m.leader, undefined);
   m.boot(leader);
   m.boot(down);
-  await m.untilLed();
+  await m.waitForLeader();
   await m.run(3000);
   t.deepEqual([...new Set(versions(m))], [2]);
 });
 
 test("a wiped replica becomes a voter again once it has caught up", async (t) => {
   const m = new ControlModel(3);
-  const a = await m.untilLed();
+  const a = await m.waitForLeader();
   await m.apply();
   const [b, c] = followers(m, a);
   m.wipe(b);
@@ -193,7 +193,7 @@
   t.is(await m.apply(a), "committed");
   m.kill(a);
   m.boot(c);
-  t.truthy(await m.untilLed());
+  t.truthy(await m.waitForLeader());
   t.is(m.replica(m.leader ?? "").state.version, 2);
 });
 
@@ -201,7 +201,7 @@
   // A machine is lost for good, and an empty one starts at another address. Four seconds
   // later two more machines are lost, as the configured fault tolerance allows.
   const m = new ControlModel(5);
-  await m.untilLed();
+  await m.waitForLeader();
   await m.run(3000);
   t.is(await m.apply(), "committed");
   const lost = m.addresses.find((a) => a !== m.leader) ?? "";
@@ -214,20 +214,20 @@
   const [first = "", second = ""] = group.filter((a) => a !== replacement);
   m.kill(first);
   m.kill(second);
-  await m.untilLed();
+  await m.waitForLeader();
   t.is(await m.apply(), "committed");
 });
 
 test("a leader with a full disk hands over, and changes are accepted again", async (t) => {
   // The leader's disk fills up. No change can be accepted until another replica leads.
   const m = new ControlModel(3);
-  const old = await m.untilLed();
-  m.machine(old).store.refuses = true;
+  const old = await m.waitForLeader();
+  m.machine(old).store.failsWrites = true;
   t.not(await m.apply(old), "committed");
   await m.run(2500);
   t.not(m.leader, old);
   t.is(await m.apply(), "committed");
-  m.machine(old).store.refuses = false;
+  m.machine(old).store.failsWrites = false;
   await m.run(1000);
   t.is(m.replica(old).state.version, 1);
 });
@@ -236,7 +236,7 @@
   // Control replicas are restarted one after the other for an upgrade. Without a handover,
   // each stop of a leader would delay all changes by about a second.
   const m = new ControlModel(3);
-  const old = await m.untilLed();
+  const old = await m.waitForLeader();
   await m.run(500);
   m.replica(old).handOver();
   await m.run(100);
@@ -246,7 +246,7 @@
 
 test("accepted versions survive when all processes are killed at once", async (t) => {
   const m = new ControlModel(5);
-  await m.untilLed();
+  await m.waitForLeader();
   await m.run(3000);
   t.is(await m.apply(), "committed");
   m.addresses.forEach((a) => {
@@ -255,7 +255,7 @@
   m.addresses.forEach((a) => {
     m.boot(a);
   });
-  await m.untilLed();
+  await m.waitForLeader();
   t.is(m.replica(m.leader ?? "").state.version, 1);
 });
 
@@ -266,7 +266,7 @@
   const waits: number[] = [];
   for (let seed = 1; seed <= 20; seed++) {
     const m = new ControlModel(5, seed);
-    await m.untilLed();
+    await m.waitForLeader();
     await m.run(3000);
     m.addresses.forEach((a) => {
       m.kill(a);
@@ -289,7 +289,7 @@
 
 test("a replica that is restarted alone starts no election while the others hear a leader", async (t) => {
   const m = new ControlModel(5);
-  const leader = await m.untilLed();
+  const leader = await m.waitForLeader();
   await m.run(3000);
   const { term } = m.replica(leader);
   for (const address of m.addresses.filter((a) => a !== leader)) {
@@ -307,7 +307,7 @@
   // which five voters tolerate. If the first replacement had become a voter before the
   // machine that it replaces was removed, three of six voters would be lost for good.
   const m = new ControlModel(5);
-  const leader = await m.untilLed();
+  const leader = await m.waitForLeader();
   await m.run(3000);
   const [first = "", second = ""] = m.addresses.filter((a) => a !== leader);
   const replacement = m.replace(first);
@@ -326,7 +326,7 @@
   // The leader cannot tell which of the two it replaces. Then a third machine is lost, and
   // the partition heals: the three that are left must still be able to commit.
   const m = new ControlModel(5);
-  const leader = await m.untilLed();
+  const leader = await m.waitForLeader();
   await m.run(3000);
   const [isolated = "", lost = "", alsoLost = ""] = m.addresses.filter((a) => a !== leader);
   m.isolate(isolated);
--- a/src/control/replica/Replica.ts
+++ b/src/control/replica/Replica.ts
@@ -418,7 +418,7 @@
     if (this.#term === undefined && (!this.#isVoter || !this.#hasRecentHeartbeat)) {
       this.#sendJoinRequests();
     }
-    this.#joinTimer = clock.after(timing.joinMs, () => {
+    this.#joinTimer = clock.after(timing.joinIntervalMs, () => {
       this.#joinPeriodically();
     });
   }
--- a/src/control/replica/ReplicaTiming.ts
+++ b/src/control/replica/ReplicaTiming.ts
@@ -6,9 +6,9 @@
   readonly electionMinMs: number;
   readonly electionMaxMs: number;
   /** The outcome of a proposal that is not committed within this time is reported as unknown. */
-  readonly proposeMs: number;
+  readonly commitTimeoutMs: number;
   /** A voter that has not replied for this long is replaced, if a learner has caught up. */
   readonly replaceAfterMs: number;
   /** Interval between join requests of a replica outside the group. */
-  readonly joinMs: number;
+  readonly joinIntervalMs: number;
 }
--- a/src/control/service/DocumentWatchers.ts
+++ b/src/control/service/DocumentWatchers.ts
@@ -87,7 +87,7 @@
   }
 
   #sendUpdates(watcher: Watcher): void {
-    for (const update of this.#replica.state.history.since(watcher.version)) {
+    for (const update of this.#replica.state.history.updatesSince(watcher.version)) {
       watcher.version = update.version;
       watcher.link.send(update);
     }
--- a/src/control/service/controlHandlers.ts
+++ b/src/control/service/controlHandlers.ts
@@ -1,6 +1,6 @@
 import * as grpc from "@grpc/grpc-js";
 import { parseOperatorDocument } from "../../common/document/parseOperatorDocument.ts";
-import { documentWire } from "../../common/rpc/documentWire.ts";
+import { documentCodec } from "../../common/rpc/documentCodec.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import { splitVersion } from "../../common/rpc/splitVersion.ts";
 import type { ApplyOutcome } from "./ApplyOutcome.ts";
@@ -33,11 +33,11 @@
     call.sendMetadata(new grpc.Metadata());
     const { have_version: version, heartbeats } = call.request;
     const sendHeartbeat = (committed: number) => {
-      call.write(documentWire.heartbeat(committed));
+      call.write(documentCodec.heartbeat(committed));
     };
     const removeWatcher = watchers.add(version, {
       send: (update) => {
-        const message = documentWire.encode(update);
+        const message = documentCodec.encode(update);
         const parts = heartbeats ? splitVersion(message) : [message];
         parts.forEach((part) => call.write(part));
       },
@@ -56,7 +56,7 @@
   const current: grpc.handleUnaryCall<unknown, ProtoTypes["ConfigVersion"]> = (_call, cb) => {
     void service.read().then((state) => {
       if (state) {
-        cb(null, documentWire.encode(state.history.whole));
+        cb(null, documentCodec.encode(state.history.whole));
       } else {
         const details = `not the leader; leader: ${service.leaderApi ?? "none yet"}`;
         cb({ code: grpc.status.FAILED_PRECONDITION, details });
--- a/src/control/service/evaluateChange.ts
+++ b/src/control/service/evaluateChange.ts
@@ -74,7 +74,7 @@
 ): string {
   const problems = [
     ...failure.issues.map((i) => `${i.path.join(".")}: ${i.message}`),
-    ...failure.across.map((v) => `${v.path.join(".")}: ${v.message}`),
+    ...failure.violations.map((v) => `${v.path.join(".")}: ${v.message}`),
   ];
   const omitted = problems.length - MAX_PROBLEMS;
   return problems.slice(0, MAX_PROBLEMS).join("; ") + (omitted > 0 ? `; and ${omitted} more` : "");
--- a/src/membership/DatagramLink.ts
+++ b/src/membership/DatagramLink.ts
@@ -3,7 +3,7 @@
 import type { Clock } from "../common/lifecycle/Clock.ts";
 import type { Timer } from "../common/lifecycle/Timer.ts";
 import { datagramCodec } from "../common/rpc/datagramCodec.ts";
-import type { NoteBytes } from "../common/rpc/NoteBytes.ts";
+import type { MessageSizeListener } from "../common/rpc/MessageSizeListener.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 
 type GossipMessage = ProtoTypes["News"];
@@ -56,14 +56,14 @@
 export class DatagramLink implements IDisposable {
   readonly #socket: Socket = createSocket("udp4");
   readonly #clock: Clock;
-  readonly #noteBytes: NoteBytes;
+  readonly #noteBytes: MessageSizeListener;
   readonly #pending = new Map<number, PendingRequest>();
   #handlers: DatagramHandlers | undefined;
   #nextId = 1;
   #closed = false;
 
   /** @param noteBytes called with the kind and size of every datagram, sent or received */
-  constructor(clock: Clock, noteBytes: NoteBytes) {
+  constructor(clock: Clock, noteBytes: MessageSizeListener) {
     this.#clock = clock;
     this.#noteBytes = noteBytes;
   }
@@ -110,7 +110,7 @@
   }
 
   /** Sends a message to a gate, or to a sidecar that requested a slot; it may get lost without notice. */
-  tell(address: string, gate: GateMessage): void {
+  sendGateMessage(address: string, gate: GateMessage): void {
     this.#send(datagramCodec.encode({ ...EMPTY_DATAGRAM, id: 0, gate }), address, "GateDatagram");
   }
 
--- a/src/membership/Membership.test.ts
+++ b/src/membership/Membership.test.ts
@@ -10,7 +10,7 @@
     const fleet = new MemberFleet(count);
     fleet.states.set("s1", "ready");
     await fleet.run(4000);
-    t.deepEqual(fleet.views(), all(count));
+    t.deepEqual(fleet.memberCounts(), all(count));
     t.deepEqual([...fleet.statesSeen("s1")], ["ready"]);
     fleet.states.set("s1", "draining");
     await fleet.run(2000);
@@ -26,10 +26,10 @@
     const fleet = new MemberFleet(count);
     await fleet.run(20_000);
     fleet.messages = 0;
-    fleet.newsSent = 0;
+    fleet.updatesSent = 0;
     await fleet.run(10_000);
     costs.push(fleet.messages / count);
-    t.is(fleet.newsSent, 0, `${count} sidecars send no membership updates`);
+    t.is(fleet.updatesSent, 0, `${count} sidecars send no membership updates`);
   }
   t.deepEqual(costs, [100, 100, 100]);
 });
@@ -48,9 +48,9 @@
     const fleet = new MemberFleet(count, 1, zones);
     fleet.states.set("s1", "ready");
     await fleet.run(30_000);
-    t.deepEqual(fleet.views(), all(count));
-    fleet.newsSent = 0;
-    fleet.newsSentFar = 0;
+    t.deepEqual(fleet.memberCounts(), all(count));
+    fleet.updatesSent = 0;
+    fleet.updatesSentToOtherZones = 0;
     const changes = 10;
     for (let n = 0; n < changes; n++) {
       const state = n % 2 === 0 ? "draining" : "ready";
@@ -58,8 +58,8 @@
       await fleet.run(2000);
       t.deepEqual([...fleet.statesSeen("s1")], [state]);
     }
-    const copies = fleet.newsSent / count / changes;
-    const farShare = fleet.newsSentFar / fleet.newsSent;
+    const copies = fleet.updatesSent / count / changes;
+    const farShare = fleet.updatesSentToOtherZones / fleet.updatesSent;
     t.log(
       `${copies.toFixed(1)} copies per change and sidecar, ${farShare.toFixed(2)} of them to other zones`,
     );
@@ -71,8 +71,8 @@
 test("240 sidecars that start together all see each other within 4 s, with few copies of each entry", async (t) => {
   const fleet = new MemberFleet(240, 1, 6);
   await fleet.run(4000);
-  t.deepEqual(fleet.views(), all(240));
-  const copies = fleet.newsSent / 240 / 240;
+  t.deepEqual(fleet.memberCounts(), all(240));
+  const copies = fleet.updatesSent / 240 / 240;
   t.log(`${copies.toFixed(1)} copies of each entry to each sidecar`);
   t.true(copies <= COPIES_PER_CHANGE);
 });
@@ -83,14 +83,14 @@
   const fleet = new MemberFleet(240, 1, 6);
   fleet.states.set("s1", "ready");
   await fleet.run(10_000);
-  fleet.deafen("s200");
+  fleet.dropUpdates("s200");
   fleet.states.set("s1", "draining");
   await fleet.run(5000);
-  fleet.undeafen("s200");
-  fleet.newsSent = 0;
+  fleet.restoreUpdates("s200");
+  fleet.updatesSent = 0;
   await fleet.run(3000);
   t.deepEqual([...fleet.statesSeen("s1")], ["draining"]);
-  t.true(fleet.newsSent < 240, `${fleet.newsSent} entries sent`);
+  t.true(fleet.updatesSent < 240, `${fleet.updatesSent} entries sent`);
 });
 
 test("dead sidecar is dropped with its targets by all members within 3 s", async (t) => {
@@ -99,7 +99,7 @@
   await fleet.run(4000);
   fleet.up.delete("s5");
   await fleet.run(3000);
-  t.deepEqual([...new Set(fleet.views())], [11]);
+  t.deepEqual([...new Set(fleet.memberCounts())], [11]);
   t.deepEqual([...fleet.statesSeen("s5")], ["gone"]);
 });
 
@@ -117,7 +117,7 @@
     fleet.cut(from, to);
     for (let i = 0; i < 50; i++) {
       await fleet.run(ROUND_MS);
-      t.deepEqual(fleet.views(), all(8));
+      t.deepEqual(fleet.memberCounts(), all(8));
     }
   });
 }
@@ -130,10 +130,10 @@
   const ids = [...fleet.up.keys()];
   fleet.cutBetween(ids.slice(0, 5), ids.slice(5));
   await fleet.run(180_000);
-  t.deepEqual([...new Set(fleet.views())], [5]);
+  t.deepEqual([...new Set(fleet.memberCounts())], [5]);
   fleet.heal();
   await fleet.run(15_000);
-  t.deepEqual(fleet.views(), all(10));
+  t.deepEqual(fleet.memberCounts(), all(10));
 });
 
 test("two separate fleets merge once one sidecar has a seed in the other", async (t) => {
@@ -143,10 +143,10 @@
   const isLeft = (id: string) => Number(id.slice(1)) < 6;
   fleet.seedsOf = (id) => (isLeft(id) ? ["s0"] : ["s6"]);
   await fleet.run(4000);
-  t.deepEqual([...new Set(fleet.views())], [6]);
+  t.deepEqual([...new Set(fleet.memberCounts())], [6]);
   fleet.seedsOf = (id) => (id === "s3" ? ["s6"] : isLeft(id) ? ["s0"] : ["s6"]);
   await fleet.run(15_000);
-  t.deepEqual(fleet.views(), all(12));
+  t.deepEqual(fleet.memberCounts(), all(12));
 });
 
 test("restarted sidecar replaces its previous incarnation, also if that was not found dead yet", async (t) => {
@@ -157,7 +157,7 @@
   fleet.states.delete("s4");
   fleet.start("s4");
   await fleet.run(3000);
-  t.deepEqual(fleet.views(), all(8));
+  t.deepEqual(fleet.memberCounts(), all(8));
   t.deepEqual([...fleet.statesSeen("s4")], ["gone"]);
 });
 
@@ -184,7 +184,7 @@
       node.config.version = 7;
     }
   });
-  ids.slice(0, 10).forEach((id) => fleet.withoutConfig.add(id));
+  ids.slice(0, 10).forEach((id) => fleet.failingConfigFetches.add(id));
   await fleet.run(1600);
   t.deepEqual([...new Set([...fleet.up.values()].map((n) => n.config.version))], [7]);
 });
--- a/src/membership/Membership.ts
+++ b/src/membership/Membership.ts
@@ -77,7 +77,7 @@
   /** Returns a number in [0, 1); seeded in tests. */
   readonly random: () => number;
   /** Called with the changed entries of other members; entries that arrived together are passed together. */
-  readonly onNews?: (members: readonly Member[]) => void;
+  readonly onMemberUpdates?: (members: readonly Member[]) => void;
 }
 
 /**
@@ -415,7 +415,7 @@
   #notifyListener(members: readonly Member[]): void {
     const others = members.filter((m) => m.sidecar_id !== this.#deps.table.selfId);
     if (others.length > 0) {
-      this.#deps.onNews?.(others);
+      this.#deps.onMemberUpdates?.(others);
     }
   }
 
--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -1,7 +1,7 @@
 import type { DocumentUpdate } from "../common/document/DocumentUpdate.ts";
 import type { IDisposable } from "../common/lifecycle/IDisposable.ts";
 import { callUnary } from "../common/rpc/callUnary.ts";
-import { documentWire } from "../common/rpc/documentWire.ts";
+import { documentCodec } from "../common/rpc/documentCodec.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 import type { DatagramLink } from "./DatagramLink.ts";
 import type { MembershipPeers } from "./MembershipPeers.ts";
@@ -50,7 +50,7 @@
     const reply = await this.#clients
       .get(address)
       .call((client) => callUnary(client.Config.bind(client), req, CONFIG_TIMEOUT_MS));
-    return reply.versions.map((v) => documentWire.decode(v));
+    return reply.versions.map((v) => documentCodec.decode(v));
   }
 
   dispose(): void {
--- a/src/membership/PeerClients.ts
+++ b/src/membership/PeerClients.ts
@@ -1,6 +1,6 @@
 import * as grpc from "@grpc/grpc-js";
 import type { IDisposable } from "../common/lifecycle/IDisposable.ts";
-import { RenewedClient } from "../common/rpc/RenewedClient.ts";
+import { ReconnectingClient } from "../common/rpc/ReconnectingClient.ts";
 import type { PeerClient } from "./PeerClient.ts";
 
 /**
@@ -9,15 +9,15 @@
  */
 const IDLE_TIMEOUT_MS = 3000;
 
-/** Upper limit of the number of consecutive failed calls after which a connection is replaced; see {@link RenewedClient}. */
+/** Upper limit of the number of consecutive failed calls after which a connection is replaced; see {@link ReconnectingClient}. */
 const MAX_CONSECUTIVE_FAILURES = 4;
 
-const OPTIONS = { idleMs: IDLE_TIMEOUT_MS, mostFailures: MAX_CONSECUTIVE_FAILURES };
+const OPTIONS = { idleMs: IDLE_TIMEOUT_MS, maxFailures: MAX_CONSECUTIVE_FAILURES };
 
 /** One gRPC client per peer address, shared by all callers in this process. */
 export class PeerClients implements IDisposable {
   readonly #ctor: grpc.ServiceClientConstructor;
-  readonly #clients = new Map<string, RenewedClient<PeerClient>>();
+  readonly #clients = new Map<string, ReconnectingClient<PeerClient>>();
 
   /** @param service definition of the Peer service, with or without metering of its calls */
   constructor(service: grpc.ServiceDefinition) {
@@ -25,10 +25,10 @@
   }
 
   /** The client of the member at `address` (host:port), opened on first use. */
-  get(address: string): RenewedClient<PeerClient> {
+  get(address: string): ReconnectingClient<PeerClient> {
     let client = this.#clients.get(address);
     if (!client) {
-      client = new RenewedClient<PeerClient>(this.#ctor, address, OPTIONS);
+      client = new ReconnectingClient<PeerClient>(this.#ctor, address, OPTIONS);
       this.#clients.set(address, client);
     }
     return client;
--- a/src/membership/TargetTable.test.ts
+++ b/src/membership/TargetTable.test.ts
@@ -127,12 +127,12 @@
   const { clock, table } = setUp();
   table.merge([member("p", 1, 1)]);
   clock.now += 3_600_000; // an hour without updates, and alive
-  t.is(table.recordPool().length, 2);
+  t.is(table.recordHolderPool().length, 2);
   table.declareGone("p");
   clock.now += 30_000;
-  t.is(table.recordPool().length, 2);
+  t.is(table.recordHolderPool().length, 2);
   clock.now += 1;
-  t.is(table.recordPool().length, 1);
+  t.is(table.recordHolderPool().length, 1);
 });
 
 test("local target that stops announcing itself is dropped", (t) => {
--- a/src/membership/TargetTable.ts
+++ b/src/membership/TargetTable.ts
@@ -266,7 +266,7 @@
   }
 
   /** Sidecars eligible as record holders, this one included; without those that are being stopped. */
-  recordPool(): RecordHolder[] {
+  recordHolderPool(): RecordHolder[] {
     const cutoff = this.#now() - RECORD_HOLDER_TIMEOUT_MS;
     const candidates = [...this.#remote.values()].filter(
       (k) => !k.member.gone || k.aliveAt >= cutoff,
--- a/src/membership/peerHandlers.ts
+++ b/src/membership/peerHandlers.ts
@@ -1,5 +1,5 @@
 import type * as grpc from "@grpc/grpc-js";
-import { documentWire } from "../common/rpc/documentWire.ts";
+import { documentCodec } from "../common/rpc/documentCodec.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 import type { ConfigSource } from "./ConfigSource.ts";
 import type { Membership } from "./Membership.ts";
@@ -17,7 +17,7 @@
     cb,
   ) => {
     const updates = source.since(call.request.have_version);
-    cb(null, { versions: updates.map((u) => documentWire.encode(u)) });
+    cb(null, { versions: updates.map((u) => documentCodec.encode(u)) });
   };
   return { Sync: sync, Config: config };
 }
--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -7,7 +7,7 @@
 import { SystemClock } from "../common/lifecycle/SystemClock.ts";
 import { loadProto } from "../common/rpc/loadProto.ts";
 import { meterService } from "../common/rpc/meterService.ts";
-import type { NoteBytes } from "../common/rpc/NoteBytes.ts";
+import type { MessageSizeListener } from "../common/rpc/MessageSizeListener.ts";
 import { startGrpcServer } from "../common/rpc/startGrpcServer.ts";
 import type { SidecarSettings } from "../common/settings/SidecarSettings.ts";
 import { openTracing } from "../common/telemetry/openTracing.ts";
@@ -29,7 +29,7 @@
 import { ownDialect } from "./dialect/ownDialect.ts";
 import { drainSidecar, type DrainedParts } from "./drainSidecar.ts";
 import { SlotClient } from "./hop/SlotClient.ts";
-import { GateMessages } from "./hop/GateMessages.ts";
+import { GateMessageDispatcher } from "./hop/GateMessageDispatcher.ts";
 import { RetryTokenClient } from "./hop/RetryTokenClient.ts";
 import { HopClient } from "./hop/HopClient.ts";
 import type { HopLink } from "./hop/HopLink.ts";
@@ -87,7 +87,7 @@
   readonly borrower: RetryTokenBorrower;
   readonly policy: RoutingPolicy;
   readonly hop: HopLink;
-  readonly calls: TrafficClassifier;
+  readonly classifier: TrafficClassifier;
   readonly metrics: SidecarMetrics;
 }
 
@@ -135,7 +135,7 @@
   async start(): Promise<void> {
     const cfg = this.#cfg;
     const metrics = new SidecarMetrics();
-    const noteBytes: NoteBytes = (method, bytes) => {
+    const noteBytes: MessageSizeListener = (method, bytes) => {
       metrics.countControlBytes(TRAFFIC_KINDS[method] ?? "other", bytes);
     };
     const tracing = await openTracing("burdockpass-sidecar", cfg.traceFile);
@@ -153,8 +153,8 @@
     const peerService = meterService(service, noteBytes);
     const clients = this.register(new PeerClients(peerService));
     const link = this.register(new DatagramLink(SystemClock, noteBytes));
-    const tell: DatagramLink["tell"] = (address, message) => {
-      link.tell(address, message);
+    const tell: DatagramLink["sendGateMessage"] = (address, message) => {
+      link.sendGateMessage(address, message);
     };
     const peers = new NetworkPeers(clients, link);
     const catchUp = { peers, config: configFollower, clock: SystemClock, log: this.#log };
@@ -166,7 +166,7 @@
         documents: this.register(new DocumentCatchUp(catchUp)),
         clock: SystemClock,
         random: Math.random,
-        onNews: logMemberUpdates(this.#log),
+        onMemberUpdates: logMemberUpdates(this.#log),
       }),
     );
     const targetSide = this.register(
@@ -179,28 +179,28 @@
         dialect: this.#dialect,
         tracing,
         metrics,
-        tell,
+        sendGateMessage: tell,
         clock: SystemClock,
         log: this.#log,
       }),
     );
     const policy = this.register(this.#createPolicy(table));
-    const slotClient = new SlotClient({ tell, clock: SystemClock });
+    const slotClient = new SlotClient({ sendGateMessage: tell, clock: SystemClock });
     const budgets = this.#createRetryBudgets(table, metrics);
-    const retryTokenClient = new RetryTokenClient({ tell, clock: SystemClock });
+    const retryTokenClient = new RetryTokenClient({ sendGateMessage: tell, clock: SystemClock });
     const borrower = new RetryTokenBorrower({
       lenders: () => chooseLenders(table),
-      ask: (...args) => retryTokenClient.ask(...args),
+      requestToken: (...args) => retryTokenClient.requestToken(...args),
       random: Math.random,
     });
     const { slotServer: gates } = targetSide;
-    const gateMessages = new GateMessages({
+    const gateMessages = new GateMessageDispatcher({
       slotClient,
       gates,
       policy,
-      tokenClient: retryTokenClient,
+      retryTokenClient: retryTokenClient,
       budgets,
-      tell,
+      sendGateMessage: tell,
     });
     metrics.watchConfig(
       () => configFollower,
@@ -218,7 +218,7 @@
       onCompare: (digests) => membership.onCompare(digests),
       onProbeFor: (address) => membership.onProbe(address),
       onGate: (message, from) => {
-        gateMessages.take(message, from);
+        gateMessages.dispatch(message, from);
       },
     });
     const hopPort = this.register(await startHttpServer(targetSide.gateServer.server, cfg.hop));
@@ -228,7 +228,14 @@
 
     const hop = this.register(new HopClient(slotClient));
     const calls = new TrafficClassifier({ runs: targetSide.runs, log: this.#log });
-    const dispatcher = this.#createDispatcher({ policy, hop, calls, metrics, budgets, borrower });
+    const dispatcher = this.#createDispatcher({
+      policy,
+      hop,
+      classifier: calls,
+      metrics,
+      budgets,
+      borrower,
+    });
     const splitSampler = new SplitSampler(Math.random);
     caller.server = new CallerServer({
       config: () => configOf(configFollower),
@@ -264,7 +271,7 @@
         membership.beginStop();
       },
       closeCallers: () => Promise.resolve(callerPort.dispose()),
-      refuseWaiting: () => {
+      refuseQueued: () => {
         dispatcher.close();
       },
       gates: targetSide,
@@ -308,7 +315,11 @@
     return new TargetTable(self, () => SystemClock.now(), announceTimeoutMs);
   }
 
-  #createConfigFollower(table: TargetTable, note: NoteBytes, onChange: () => void): ConfigFollower {
+  #createConfigFollower(
+    table: TargetTable,
+    note: MessageSizeListener,
+    onChange: () => void,
+  ): ConfigFollower {
     const { control, dataDir, id } = this.#cfg;
     return this.register(
       new ConfigFollower({
@@ -318,7 +329,7 @@
         clock: SystemClock,
         random: Math.random,
         log: this.#log,
-        note,
+        onMessageSize: note,
         onChange,
       }),
     );
@@ -342,7 +353,7 @@
       startedAt: this.#startedAt,
       random: Math.random,
     });
-    metrics.watchBudgets(() => budgets.figures);
+    metrics.watchBudgets(() => budgets.usage);
     return budgets;
   }
 
@@ -351,10 +362,10 @@
       ...parts,
       callerService: this.#cfg.callerService,
       isStarting: () => SystemClock.now() - this.#startedAt < STARTUP_MS,
-      onExtraTry: (service, cause) => {
+      onExtraRun: (service, cause) => {
         metrics.countExtraRun(service, cause);
       },
-      onDenied: (service) => {
+      onRetryDenied: (service) => {
         metrics.countDeniedRetry(service);
       },
       clock: SystemClock,
--- a/src/sidecar/TargetSide.ts
+++ b/src/sidecar/TargetSide.ts
@@ -31,7 +31,7 @@
 import { RunTable } from "./gate/RunTable.ts";
 import { TargetGates } from "./gate/TargetGates.ts";
 import { TargetRunner } from "./gate/TargetRunner.ts";
-import { adoptAt } from "./records/adoptAt.ts";
+import { sendRecordCopies } from "./records/sendRecordCopies.ts";
 import { chooseRecordGroup } from "./records/chooseRecordGroup.ts";
 import { idempotencyKeyOf } from "./records/idempotencyKeyOf.ts";
 import { AtMostOnceRunner } from "./records/AtMostOnceRunner.ts";
@@ -64,7 +64,7 @@
   readonly tracing: Tracing;
   readonly metrics: SidecarMetrics;
   /** Sends a datagram, which may be lost. */
-  readonly tell: (address: string, message: ProtoTypes["GateMessage"]) => void;
+  readonly sendGateMessage: (address: string, message: ProtoTypes["GateMessage"]) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
@@ -86,21 +86,21 @@
   constructor(deps: TargetSideDeps) {
     super();
     this.#deps = deps;
-    const { table, clock, log, dialect, cfg, tracing, metrics, tell } = deps;
+    const { table, clock, log, dialect, cfg, tracing, metrics, sendGateMessage: tell } = deps;
     const grants = new GrantIds(randomBytes(BOOT_ID_BYTES).toString("hex"));
     this.runs = new ActiveRuns(clock);
     this.#gates = new TargetGates({
       targets: () => table.localTargets(),
       detectorOf: (target) => this.#createDetector(target),
-      waitsForCall: (since) => this.runs.hasOpenCall(since),
+      mayAwaitNestedCall: (since) => this.runs.hasOpenNestedCall(since),
       clock,
       grants,
       log,
-      onJudged: (target, load) => {
+      onHealthChange: (target, load) => {
         this.slotServer.publishLoad(target, load);
       },
-      onNewLife: (target) => {
-        sender.renew(target);
+      onTargetRestart: (target) => {
+        sender.retireConnections(target);
       },
     });
     this.#records = this.register(this.#createRecords());
@@ -120,14 +120,20 @@
     const runner = new TargetRunner({
       gates: this.#gates,
       runs: new RunTable(clock),
-      here: this.runs,
+      activeRuns: this.runs,
       target: (id) => table.localTargets().find((t) => t.id === id),
       send: (target, req) => sendAtMostOnce(sender, atMostOnceRunner, target, req),
       grants,
       log,
     });
     this.gateServer = new GateServer({ runner, tracing, clock, log });
-    this.slotServer = new SlotServer({ gates: this.#gates, metrics, tell, clock, log });
+    this.slotServer = new SlotServer({
+      gates: this.#gates,
+      metrics,
+      sendGateMessage: tell,
+      clock,
+      log,
+    });
     this.register(
       every(EXPIRY_INTERVAL_MS, () => {
         this.#records.expire();
@@ -246,7 +252,7 @@
     };
     return new AtMostOnceRunner({
       group: (key) =>
-        chooseRecordGroup(key, table.recordPool()).map((holder) =>
+        chooseRecordGroup(key, table.recordHolderPool()).map((holder) =>
           holder.id === localPeer.id
             ? localPeer
             : new RemoteRecordPeer(holder.id, clients.get(holder.peerAddress), clock),
@@ -262,8 +268,8 @@
       new RecordHandover({
         selfId: cfg.id,
         records: this.#records,
-        pool: () => table.recordPool(),
-        send: (address, due) => adoptAt(clients.get(address), due, clock.now()),
+        pool: () => table.recordHolderPool(),
+        send: (address, due) => sendRecordCopies(clients.get(address), due, clock.now()),
       }),
     );
     handover.start();
--- a/src/sidecar/admin/SidecarMetrics.test.ts
+++ b/src/sidecar/admin/SidecarMetrics.test.ts
@@ -7,8 +7,8 @@
     () => ({ version: 7, inForceSince: 1000 }),
     () => 3500,
   );
-  metrics.refused("full");
-  metrics.waited(300);
+  metrics.countRefusal("full");
+  metrics.observeQueueWait(300);
   metrics.countHealthChange("results", true);
   metrics.countExtraRun("results", "hedge");
   metrics.countDeniedRetry("results");
--- a/src/sidecar/admin/SidecarMetrics.ts
+++ b/src/sidecar/admin/SidecarMetrics.ts
@@ -117,12 +117,12 @@
   }
 
   /** Counts a refused slot request. */
-  refused(reason: string): void {
+  countRefusal(reason: string): void {
     this.#refusals.inc({ reason });
   }
 
   /** Records how long a granted slot request waited in the admission queue, ms. */
-  waited(ms: number): void {
+  observeQueueWait(ms: number): void {
     this.#queueWait.observe(ms / 1000);
   }
 
--- a/src/sidecar/config/ConfigFollower.ts
+++ b/src/sidecar/config/ConfigFollower.ts
@@ -6,7 +6,7 @@
 import type { OperatorDocument } from "../../common/document/OperatorDocument.ts";
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
-import type { NoteBytes } from "../../common/rpc/NoteBytes.ts";
+import type { MessageSizeListener } from "../../common/rpc/MessageSizeListener.ts";
 import { writeFileSynced } from "../../common/storage/writeFileSynced.ts";
 import type { ConfigSource } from "../../membership/ConfigSource.ts";
 import { RouteIndex } from "../routing/RouteIndex.ts";
@@ -32,7 +32,7 @@
   readonly random: () => number;
   readonly log: bunyan;
   /** Called with the method and size of every message to and from control. */
-  readonly note?: NoteBytes;
+  readonly onMessageSize?: MessageSizeListener;
   /** Called after another version has come into force. */
   readonly onChange?: () => void;
 }
@@ -76,7 +76,7 @@
   }
 
   since(version: number): readonly DocumentUpdate[] {
-    return this.#history.since(version);
+    return this.#history.updatesSince(version);
   }
 
   /** Starts following control, until disposed. */
@@ -96,7 +96,7 @@
 
   /** Applies `update` if it is newer. All documents, from control, disk or members, pass through here. */
   offer(update: DocumentUpdate): "taken" | "stale" | "gap" {
-    const result = this.#history.take(update);
+    const result = this.#history.apply(update);
     if (result === "taken") {
       this.#routes = new RouteIndex(this.#history.document);
       this.#inForceSince = this.#deps.clock.now();
@@ -108,11 +108,11 @@
   }
 
   #createWatch(): WatchSupervisor {
-    const { sidecarId, note, clock, log } = this.#deps;
+    const { sidecarId, onMessageSize: note, clock, log } = this.#deps;
     return new WatchSupervisor({
       choose: (avoid) => this.#chooseReplica(avoid),
       open: (address, events) =>
-        new ControlWatch({ sidecarId, note, ...events }, address, this.version),
+        new ControlWatch({ sidecarId, onMessageSize: note, ...events }, address, this.version),
       apply: (update) => this.offer(update),
       clock,
       log,
--- a/src/sidecar/config/ControlWatch.ts
+++ b/src/sidecar/config/ControlWatch.ts
@@ -2,15 +2,15 @@
 import type { DocumentUpdate } from "../../common/document/DocumentUpdate.ts";
 import type { IDisposable } from "../../common/lifecycle/IDisposable.ts";
 import { ControlClient } from "../../common/rpc/ControlClient.ts";
-import { documentWire } from "../../common/rpc/documentWire.ts";
-import type { NoteBytes } from "../../common/rpc/NoteBytes.ts";
+import { documentCodec } from "../../common/rpc/documentCodec.ts";
+import type { MessageSizeListener } from "../../common/rpc/MessageSizeListener.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
-import { VersionParts } from "../../common/rpc/VersionParts.ts";
+import { VersionJoiner } from "../../common/rpc/VersionJoiner.ts";
 
 interface ControlWatchDeps {
   readonly sidecarId: string;
   /** Called with the method and size of every message to and from control. */
-  readonly note: NoteBytes | undefined;
+  readonly onMessageSize: MessageSizeListener | undefined;
   readonly onUpdate: (update: DocumentUpdate) => void;
   /** Called for each message from the replica: a heartbeat about once a second, and each part of an update. */
   readonly onHeartbeat: () => void;
@@ -25,13 +25,13 @@
   readonly #deps: ControlWatchDeps;
   readonly #client: ControlClient;
   readonly #call: grpc.ClientReadableStream<ProtoTypes["ConfigVersion"]>;
-  readonly #parts = new VersionParts();
+  readonly #parts = new VersionJoiner();
   #ended = false;
 
   /** @param haveVersion the version in force at this sidecar; the replica sends the updates after it */
   constructor(deps: ControlWatchDeps, address: string, haveVersion: number) {
     this.#deps = deps;
-    this.#client = ControlClient(address, deps.note);
+    this.#client = ControlClient(address, deps.onMessageSize);
     const req = { sidecar_id: deps.sidecarId, have_version: haveVersion, heartbeats: true };
     this.#call = this.#client.Watch(req);
     this.#call.on("metadata", () => {
@@ -58,12 +58,12 @@
 
   #onData(raw: ProtoTypes["ConfigVersion"]): void {
     this.#deps.onHeartbeat();
-    if (documentWire.isHeartbeat(raw)) {
+    if (documentCodec.isHeartbeat(raw)) {
       return;
     }
     const whole = this.#parts.add(raw);
     if (whole) {
-      this.#deps.onUpdate(documentWire.decode(whole));
+      this.#deps.onUpdate(documentCodec.decode(whole));
     }
   }
 
--- a/src/sidecar/detection/AlwaysHealthyDetector.ts
+++ b/src/sidecar/detection/AlwaysHealthyDetector.ts
@@ -8,6 +8,6 @@
   isEjected: false,
   probeInMs: () => undefined,
   admits: () => true,
-  note: () => undefined,
-  noteOverdue: () => undefined,
+  recordOutcome: () => undefined,
+  recordOverdue: () => undefined,
 };
--- a/src/sidecar/detection/AttemptOutcome.ts
+++ b/src/sidecar/detection/AttemptOutcome.ts
@@ -5,13 +5,13 @@
   /** A complete response with a 5xx status. */
   Failed = "failed",
   /** A response that was truncated, malformed, or meant for another request. */
-  Wrong = "wrong",
+  InvalidResponse = "wrong",
   /** No response: the connection was reset or refused. */
-  NoAnswer = "no-answer",
+  NoResponse = "no-answer",
   /** No response before the deadline set by the caller or the route, which may have been too short for the work. */
   TimedOut = "timed-out",
   /** The target failed it because a nested call was not served. No evidence about the target's health. */
-  CallLost = "call-lost",
+  NestedCallFailed = "call-lost",
   /** The target had no capacity and rejected it without running it. No evidence about the target's health. */
   Shed = "shed",
   /** The caller disconnected first. No evidence about the target. */
--- a/src/sidecar/detection/GrayFailureDetector.test.ts
+++ b/src/sidecar/detection/GrayFailureDetector.test.ts
@@ -5,7 +5,7 @@
 import { AttemptOutcome } from "./AttemptOutcome.ts";
 import { GrayFailureDetector } from "./GrayFailureDetector.ts";
 
-const { Ok, Failed, NoAnswer, TimedOut, Shed } = AttemptOutcome;
+const { Ok, Failed, NoResponse: NoAnswer, TimedOut, Shed } = AttemptOutcome;
 
 /** Time without evidence after which an ejected target is tried again, ms. */
 const EJECT_MS = 5000;
@@ -19,7 +19,7 @@
     clock,
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
-  detector.note(Ok, 0, 0);
+  detector.recordOutcome(Ok, 0, 0);
   const state = () => (detector.isEjected ? "ejected" : detector.isSuspect ? "suspect" : "healthy");
   return { clock, detector, state };
 }
@@ -168,22 +168,22 @@
       if ("wait" in step) {
         await r.clock.advance(step.wait);
       } else if ("overdue" in step) {
-        r.detector.noteOverdue(step.overdue);
+        r.detector.recordOverdue(step.overdue);
       } else {
-        r.detector.note(step.outcome, step.ms ?? 0, step.typicalMs ?? 0);
+        r.detector.recordOutcome(step.outcome, step.ms ?? 0, step.typicalMs ?? 0);
       }
     }
     t.is(r.state(), state);
   });
 }
 
-const retryable = { isExpendable: true, isPressed: false, acceptsRisk: 0 };
-const notRetryable = { isExpendable: false, isPressed: false, acceptsRisk: 0 };
+const retryable = { isRetryable: true, isCongested: false, acceptsRisk: 0 };
+const notRetryable = { isRetryable: false, isCongested: false, acceptsRisk: 0 };
 
 test("health detector: a suspect target admits no request that cannot be retried, and up to five that can", async (t) => {
   const { clock, detector } = setUp();
   await clock.advance(500);
-  detector.note(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
   t.false(detector.admits(notRetryable, 0));
   t.true(detector.admits({ ...notRetryable, acceptsRisk: 1 }, 0));
   t.deepEqual(
@@ -195,24 +195,24 @@
 test("health detector: an ejected target gets one probe at a time, with a pause after a failed probe", async (t) => {
   const { clock, detector } = setUp();
   await clock.advance(500);
-  detector.note(Failed, 2, 0);
-  detector.note(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
   t.is(detector.probeInMs(0), 1000, "no probe right after the ejection");
   await clock.advance(1000);
   t.is(detector.probeInMs(0), 0);
   t.true(detector.admits(retryable, 0));
   t.false(detector.admits(retryable, 1));
-  detector.note(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
   await clock.advance(300);
   t.false(detector.admits(retryable, 0));
   t.true(
-    detector.admits({ ...retryable, isPressed: true }, 0),
+    detector.admits({ ...retryable, isCongested: true }, 0),
     "sooner if requests are queued for capacity",
   );
-  detector.note(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
   t.is(detector.probeInMs(0), 1000);
   await clock.advance(1000);
-  detector.note(Ok, 50, 0);
+  detector.recordOutcome(Ok, 50, 0);
   t.is(detector.probeInMs(2), 0, "the next probes follow a success at once");
 });
 
@@ -221,6 +221,6 @@
   const initialRisk = detector.risk;
   await clock.advance(3000);
   const agedRisk = detector.risk;
-  detector.note(Failed, 2, 0);
+  detector.recordOutcome(Failed, 2, 0);
   t.true(initialRisk < 0.02 && agedRisk > 0.05 && agedRisk < 0.3 && detector.risk > 0.6);
 });
--- a/src/sidecar/detection/GrayFailureDetector.ts
+++ b/src/sidecar/detection/GrayFailureDetector.ts
@@ -192,13 +192,13 @@
       : MAX_PROBES_RECOVERING;
   }
 
-  admits({ acceptsRisk, isExpendable, isPressed }: AdmissionRequest, probes: number): boolean {
-    const earlyMs = isPressed ? PROBE_INTERVAL_MS - QUEUED_PROBE_INTERVAL_MS : 0;
+  admits({ acceptsRisk, isRetryable, isCongested }: AdmissionRequest, probes: number): boolean {
+    const earlyMs = isCongested ? PROBE_INTERVAL_MS - QUEUED_PROBE_INTERVAL_MS : 0;
     const isDue = () => (this.probeInMs(probes) ?? 0) <= earlyMs;
-    return this.risk <= acceptsRisk || !this.isSuspect || (isExpendable && isDue());
+    return this.risk <= acceptsRisk || !this.isSuspect || (isRetryable && isDue());
   }
 
-  note(outcome: AttemptOutcome, ms: number, typicalMs: number): void {
+  recordOutcome(outcome: AttemptOutcome, ms: number, typicalMs: number): void {
     const startedAt = this.#deps.clock.now() - ms;
     switch (outcome) {
       case AttemptOutcome.Ok:
@@ -206,7 +206,7 @@
         this.#recordPace(ms, typicalMs);
         return;
       case AttemptOutcome.Failed:
-      case AttemptOutcome.NoAnswer:
+      case AttemptOutcome.NoResponse:
         this.#recordFailure(startedAt, this.#failureNats);
         return;
       case AttemptOutcome.TimedOut:
@@ -214,19 +214,19 @@
           this.#recordFailure(startedAt, OVERDUE_NATS);
         }
         return;
-      case AttemptOutcome.Wrong:
+      case AttemptOutcome.InvalidResponse:
         this.#delayNextProbe();
         this.#wrongResponses.add(WRONG_NATS, this.#deps.rule().threshold);
         this.#updateEjection();
         return;
-      case AttemptOutcome.CallLost:
+      case AttemptOutcome.NestedCallFailed:
       case AttemptOutcome.Shed:
       case AttemptOutcome.Cancelled:
         return;
     }
   }
 
-  noteOverdue(ms: number): void {
+  recordOverdue(ms: number): void {
     this.#recordFailure(this.#deps.clock.now() - ms, OVERDUE_NATS);
   }
 
--- a/src/sidecar/detection/HealthDetector.ts
+++ b/src/sidecar/detection/HealthDetector.ts
@@ -3,9 +3,9 @@
 /** Properties of a request that decide whether a detector admits it to the target. */
 export interface AdmissionRequest {
   /** The request can be retried if this attempt fails, so it can serve as a probe of the target. */
-  readonly isExpendable: boolean;
+  readonly isRetryable: boolean;
   /** Requests are queued for capacity at the sidecar that sends it. */
-  readonly isPressed: boolean;
+  readonly isCongested: boolean;
   /** Highest failure probability at which no other target is better for the request; 0 if another one always is. */
   readonly acceptsRisk: number;
 }
@@ -33,7 +33,7 @@
    * @param ms its duration, ms
    * @param typicalMs typical duration of such requests at the service's targets, ms; 0 if unknown
    */
-  note(outcome: AttemptOutcome, ms: number, typicalMs: number): void;
+  recordOutcome(outcome: AttemptOutcome, ms: number, typicalMs: number): void;
   /** Records that a request in flight, started `ms` ago, has taken far longer than is typical. */
-  noteOverdue(ms: number): void;
+  recordOverdue(ms: number): void;
 }
--- a/src/sidecar/drainSidecar.ts
+++ b/src/sidecar/drainSidecar.ts
@@ -23,7 +23,7 @@
   /** Stops accepting callers' connections; resolves once all pending requests have a response. */
   readonly closeCallers: () => Promise<void>;
   /** Refuses the callers' requests that have no slot yet. */
-  readonly refuseWaiting: () => void;
+  readonly refuseQueued: () => void;
   /** The gates of the local targets. */
   readonly gates: { closeBy(endAt: number): void; close(): void; readonly isBusy: boolean };
   /** Notifies the other members that this one has left. */
@@ -58,7 +58,7 @@
     { busy: parts.gates.isBusy, leftMs: endAt - clock.now() },
     "drain: no longer accepting callers",
   );
-  const refusalTimer = clock.after(endAt - QUEUE_REFUSAL_MS - clock.now(), parts.refuseWaiting);
+  const refusalTimer = clock.after(endAt - QUEUE_REFUSAL_MS - clock.now(), parts.refuseQueued);
   await Promise.race([parts.closeCallers(), sleep(endAt - clock.now())]);
   refusalTimer.cancel();
   parts.gates.close();
--- a/src/sidecar/forwarding/ForwardResult.ts
+++ b/src/sidecar/forwarding/ForwardResult.ts
@@ -1,14 +1,14 @@
 import type { Readable } from "node:stream";
 import type { Verdict } from "../../common/Verdict.ts";
 import type { AttemptOutcome } from "../detection/AttemptOutcome.ts";
-import type { CallMeans } from "../gate/CallsPerRun.ts";
+import type { MeanNestedCalls } from "../gate/CallsPerRun.ts";
 
 /** Fields of every result. */
 interface AttemptReport {
   /** Outcome as evidence about the target's health. */
   readonly outcome: AttemptOutcome;
   /** Mean number of nested calls per run at the target, by service; undefined if its sidecar did not report them. */
-  readonly calls?: CallMeans;
+  readonly calls?: MeanNestedCalls;
 }
 
 /** Result of one attempt at one target: the verdict, and the response if the verdict is `done`. */
--- a/src/sidecar/forwarding/TargetRequest.ts
+++ b/src/sidecar/forwarding/TargetRequest.ts
@@ -12,14 +12,14 @@
   /** Length of a streamed body, bytes, if known. */
   readonly bodyLength?: number;
   /** Metadata sent to the target in headers; the remaining time is computed when the request is sent. */
-  readonly words: Omit<TargetMetadata, "remainingMs">;
+  readonly metadata: Omit<TargetMetadata, "remainingMs">;
   /** Deadline for the response, by the monotonic clock, ms. */
   readonly deadlineAt: number;
   readonly idempotent: boolean;
   /** Aborted when the caller has disconnected; undefined for requests that must run to completion. */
   readonly cancelled?: AbortSignal;
   /** Aborted when the target has restarted: the run is lost, and no response will arrive. */
-  readonly lost?: AbortSignal;
+  readonly targetRestarted?: AbortSignal;
   /** Buffer the complete response, whatever its size, before returning it; needed if the response is stored. */
-  readonly wholeAnswer?: boolean;
+  readonly bufferResponse?: boolean;
 }
--- a/src/sidecar/forwarding/TargetSender.test.ts
+++ b/src/sidecar/forwarding/TargetSender.test.ts
@@ -25,7 +25,7 @@
   path: "/x",
   headers: ["Host", "desk.example"],
   body: undefined,
-  words: {
+  metadata: {
     attempt: AttemptId(attempt),
     target: makeTarget("t").id,
     callerService: "",
@@ -93,7 +93,7 @@
       }, 30);
     },
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     // The same, with the reset directly after the bytes: the event loop receives both at once, and reports only an end
@@ -105,13 +105,13 @@
       });
     },
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     name: "a response truncated by a close",
     behave: (s, head) => s.end(response(echoOf(head), "whole").slice(0, -2)),
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     name: "a reset before any response",
@@ -119,7 +119,7 @@
       reset(s);
     },
     verdict: "may-have-run",
-    outcome: AttemptOutcome.NoAnswer,
+    outcome: AttemptOutcome.NoResponse,
   },
   {
     name: "an immediate gateway timeout",
@@ -144,13 +144,13 @@
     name: "bytes that are not an HTTP response",
     behave: (s) => s.write("what is this?\r\n\r\n"),
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     name: "the response to another request",
     behave: (s) => s.write(response("other", "not yours")),
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     name: "a second response directly after the first",
@@ -177,7 +177,7 @@
     behave: (s) =>
       s.write(`HTTP/1.1 503 Full\r\n${ECHO}: other\r\nx-not-run: 1\r\ncontent-length: 0\r\n\r\n`),
     verdict: "may-have-run",
-    outcome: AttemptOutcome.Wrong,
+    outcome: AttemptOutcome.InvalidResponse,
   },
   {
     name: "no response by the deadline",
--- a/src/sidecar/forwarding/TargetSender.ts
+++ b/src/sidecar/forwarding/TargetSender.ts
@@ -70,7 +70,7 @@
     if (remainingMs <= 0) {
       return notRun("no time left", RETRY_AFTER_MS);
     }
-    const metadata = { ...req.words, remainingMs };
+    const metadata = { ...req.metadata, remainingMs };
     const headers = this.#headersFor(req, metadata);
     const connection = this.#agentFor(target, req);
     const exchange = new TargetExchange({ url: target.url, agent: connection.agent, headers }, req);
@@ -85,7 +85,7 @@
       exchange.abort();
     };
     req.cancelled?.addEventListener("abort", onAbort);
-    req.lost?.addEventListener("abort", onAbort);
+    req.targetRestarted?.addEventListener("abort", onAbort);
     try {
       const res = await exchange.response;
       progress.isResponding = true;
@@ -97,13 +97,13 @@
       // rest does not depend on the target.
       timer.cancel();
       req.cancelled?.removeEventListener("abort", onAbort);
-      req.lost?.removeEventListener("abort", onAbort);
+      req.targetRestarted?.removeEventListener("abort", onAbort);
       connection.release();
     }
   }
 
   /** Retires the connections to a target that has restarted, whose previous incarnation held their other ends. */
-  renew({ url }: TargetInfo): void {
+  retireConnections({ url }: TargetInfo): void {
     this.#retireAgent(url);
   }
 
@@ -160,9 +160,9 @@
         // is expected, so no other request may be sent on it.
         this.#isolateRequests(target.url);
         exchange.abort();
-        return mayHaveRun(target, head.reason, AttemptOutcome.Wrong);
+        return mayHaveRun(target, head.reason, AttemptOutcome.InvalidResponse);
       case "own": {
-        const body = await readResponse(res, req.wholeAnswer ?? false, () =>
+        const body = await readResponse(res, req.bufferResponse ?? false, () =>
           exchange.checkEnd(res),
         );
         const verdict = { kind: "done", target: target.id, status } as const;
@@ -194,15 +194,15 @@
       this.#retireAgent(target.url);
       return mayHaveRun(target, "no answer in time", AttemptOutcome.TimedOut, true);
     }
-    if (req.lost?.aborted) {
-      return mayHaveRun(target, "the target has started again", AttemptOutcome.NoAnswer);
+    if (req.targetRestarted?.aborted) {
+      return mayHaveRun(target, "the target has started again", AttemptOutcome.NoResponse);
     }
     if (req.cancelled?.aborted) {
       return mayHaveRun(target, "the caller has left", AttemptOutcome.Cancelled);
     }
     if (isConnectError(err)) {
       const result = notRun(`connect failed: ${code}`, RETRY_AFTER_MS);
-      return { ...result, outcome: AttemptOutcome.NoAnswer };
+      return { ...result, outcome: AttemptOutcome.NoResponse };
     }
     const isParseError = code.startsWith("HPE_");
     if (isParseError) {
@@ -210,7 +210,11 @@
     }
     const reason = err instanceof Error ? `${err.name}: ${code || err.message}` : "unknown error";
     const isWrong = isParseError || progress.isResponding;
-    return mayHaveRun(target, reason, isWrong ? AttemptOutcome.Wrong : AttemptOutcome.NoAnswer);
+    return mayHaveRun(
+      target,
+      reason,
+      isWrong ? AttemptOutcome.InvalidResponse : AttemptOutcome.NoResponse,
+    );
   }
 
   /** Makes non-idempotent requests use separate connections for a while, after a target sent unexpected bytes. */
--- a/src/sidecar/forwarding/endToEnd.ts
+++ b/src/sidecar/forwarding/forwardableHeaders.ts
@@ -17,7 +17,7 @@
  * Returns the headers to forward to the next hop: all except hop-by-hop headers, those listed in `Connection`, and
  * those for which `isDropped` returns true.
  */
-export function endToEnd(
+export function forwardableHeaders(
   headers: HeaderList,
   isDropped: (lowerCaseName: string) => boolean = () => false,
 ): string[] {
--- a/src/sidecar/forwarding/openBody.ts
+++ b/src/sidecar/forwarding/openBody.ts
@@ -17,9 +17,9 @@
 /** Limits on the size of a body, bytes. */
 interface BodyBounds {
   /** Maximum size; larger bodies are rejected. */
-  readonly mostBytes: number;
+  readonly maxBytes: number;
   /** Bodies up to this size are buffered before they are forwarded; larger ones are streamed. */
-  readonly wholeBytes: number;
+  readonly maxBufferedBytes: number;
 }
 
 /**
@@ -29,7 +29,7 @@
  */
 export async function openBody(
   req: IncomingMessage,
-  { mostBytes, wholeBytes }: BodyBounds,
+  { maxBytes, maxBufferedBytes }: BodyBounds,
 ): Promise<OpenedBody> {
   const declared = req.headers["content-length"];
   const isChunked = req.headers["transfer-encoding"] !== undefined;
@@ -37,32 +37,32 @@
     return { kind: "none", body: undefined };
   }
   const length = declared === undefined ? undefined : Number(declared);
-  if (length !== undefined && length > mostBytes) {
+  if (length !== undefined && length > maxBytes) {
     return { kind: "too-large" };
   }
   if (length === undefined) {
-    return openChunked(req, { mostBytes, wholeBytes });
+    return openChunked(req, { maxBytes, maxBufferedBytes });
   }
-  if (length <= wholeBytes) {
-    const body = await readBody(req, wholeBytes);
+  if (length <= maxBufferedBytes) {
+    const body = await readBody(req, maxBufferedBytes);
     return body ? { kind: "whole", body } : { kind: "too-large" };
   }
-  return { kind: "stream", body: detachBody(req, mostBytes), length };
+  return { kind: "stream", body: detachBody(req, maxBytes), length };
 }
 
-/** Buffers a body of unknown length up to `wholeBytes`; if it is larger, returns a stream of all of it. */
+/** Buffers a body of unknown length up to `maxBufferedBytes`; if it is larger, returns a stream of all of it. */
 async function openChunked(
   req: IncomingMessage,
-  { mostBytes, wholeBytes }: BodyBounds,
+  { maxBytes, maxBufferedBytes }: BodyBounds,
 ): Promise<OpenedBody> {
-  const body = detachBody(req, mostBytes);
+  const body = detachBody(req, maxBytes);
   const chunks: Buffer[] = [];
   let size = 0;
   try {
     for await (const chunk of body.iterator({ destroyOnReturn: false }) as AsyncIterable<Buffer>) {
       chunks.push(chunk);
       size += chunk.length;
-      if (size > wholeBytes) {
+      if (size > maxBufferedBytes) {
         body.unshift(Buffer.concat(chunks));
         return { kind: "stream", body, length: undefined };
       }
--- a/src/sidecar/forwarding/withHeaders.ts
+++ b/src/sidecar/forwarding/withHeaders.ts
@@ -1,4 +1,4 @@
-import { endToEnd } from "./endToEnd.ts";
+import { forwardableHeaders } from "./forwardableHeaders.ts";
 import type { HeaderList } from "./HeaderList.ts";
 
 /** Returns `headers` with `overrides` in place of any headers of the same names. */
@@ -9,5 +9,8 @@
   const names = new Set(Object.keys(overrides).map((name) => name.toLowerCase()));
   return names.size === 0
     ? headers
-    : [...endToEnd(headers, (name) => names.has(name)), ...Object.entries(overrides).flat()];
+    : [
+        ...forwardableHeaders(headers, (name) => names.has(name)),
+        ...Object.entries(overrides).flat(),
+      ];
 }
--- a/src/sidecar/gate/ActiveRuns.test.ts
+++ b/src/sidecar/gate/ActiveRuns.test.ts
@@ -74,10 +74,10 @@
   const runs = new ActiveRuns(clock);
   await clock.advance(100);
   const end = runs.beginCall(CALL);
-  t.true(runs.hasOpenCall(50));
-  t.false(runs.hasOpenCall(150));
+  t.true(runs.hasOpenNestedCall(50));
+  t.false(runs.hasOpenNestedCall(150));
   end(true);
-  t.false(runs.hasOpenCall(50));
+  t.false(runs.hasOpenNestedCall(50));
   t.is(runs.begin().takeLostCall(), undefined, "a served call does not explain a failure");
 });
 
--- a/src/sidecar/gate/ActiveRuns.ts
+++ b/src/sidecar/gate/ActiveRuns.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
-import { CallsPerRun, type CallMeans } from "./CallsPerRun.ts";
+import { CallsPerRun, type MeanNestedCalls } from "./CallsPerRun.ts";
 
 /**
  * Longest time between the end of a failed nested call and the failure of the run that depends on it, ms. The call's
@@ -66,7 +66,7 @@
   }
 
   /** Mean number of nested calls per run, by called service. */
-  get callMeans(): CallMeans {
+  get callMeans(): MeanNestedCalls {
     return this.#callsPerRun.means;
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Whether a nested call made at or after `since` (ms) is open: a run that began then may be waiting for it. */
-  hasOpenCall(since: number): boolean {
+  hasOpenNestedCall(since: number): boolean {
     return [...this.#openCalls].some((call) => call.startedAt >= since);
   }
 
--- a/src/sidecar/gate/AdmissionQueue.ts
+++ b/src/sidecar/gate/AdmissionQueue.ts
@@ -70,8 +70,8 @@
 
   /** Records that a slot was granted to a request, queued or newly received. */
   recordGrant(waiting: QueuedRequest, now: number, serviceMs: number): void {
-    const { isCall } = waiting.request;
-    this.#estimator.recordGrant({ isCall, isLate: isLate(waiting, now, serviceMs) });
+    const { isNestedCall } = waiting.request;
+    this.#estimator.recordGrant({ isNestedCall, isLate: isLate(waiting, now, serviceMs) });
   }
 
   /** Estimated remaining wait of `waiting`, queued or about to be, ms. */
--- a/src/sidecar/gate/CallsPerRun.ts
+++ b/src/sidecar/gate/CallsPerRun.ts
@@ -2,7 +2,7 @@
 import { DecayingScore } from "../detection/DecayingScore.ts";
 
 /** Mean number of nested calls per run, by name of the called service. */
-export type CallMeans = ReadonlyMap<string, number>;
+export type MeanNestedCalls = ReadonlyMap<string, number>;
 
 /** Half-life of the counts, ms: a few dozen runs of a busy target, a few of a quiet one. */
 const HALF_LIFE_MS = 10_000;
@@ -44,7 +44,7 @@
   }
 
   /** Mean number of nested calls per run, by called service. */
-  get means(): CallMeans {
+  get means(): MeanNestedCalls {
     const runs = this.#runs.value + PRIOR_RUNS;
     const means = [...this.#calls].map(
       ([service, calls]) => [service, calls.value / runs] as const,
--- a/src/sidecar/gate/Gate.test.ts
+++ b/src/sidecar/gate/Gate.test.ts
@@ -19,7 +19,7 @@
 
 /** A gate to a target with `slots`; replies are recorded by attempt. */
 function rig(slots = 2, detector: HealthDetector = AlwaysHealthyDetector, clock = new FakeClock()) {
-  const target = { slots, takesWork: true, isPresent: true };
+  const target = { slots, acceptsRequests: true, isPresent: true };
   const gate = new Gate({
     target: () => (target.isPresent ? target : undefined),
     detector,
@@ -36,7 +36,7 @@
     return reply?.kind === "granted" ? reply.grant : GrantId("none");
   };
   const run = (attempt: string, ms: number) => {
-    gate.take(grantOf(attempt));
+    gate.redeem(grantOf(attempt));
     clock.after(ms, () => {
       gate.end(grantOf(attempt), AttemptOutcome.Ok);
     });
@@ -68,8 +68,8 @@
   requestSlot("b");
   await clock.advance(GRANT_TTL_MS);
   t.is(replyTo("b"), "granted");
-  t.is(gate.take(grantOf("a")), undefined, "the first grant has expired");
-  t.truthy(gate.take(grantOf("b")));
+  t.is(gate.redeem(grantOf("a")), undefined, "the first grant has expired");
+  t.truthy(gate.redeem(grantOf("b")));
 });
 
 test("gate: withdrawing a request frees its place in the queue or its slot", (t) => {
@@ -116,7 +116,7 @@
   what: string;
   untilExitMs: number;
   typicalMs: number;
-  isExpendable: boolean;
+  isRetryable: boolean;
   remainingMs?: number;
   expected: string;
 }[] = [
@@ -124,35 +124,35 @@
     what: "fits before the exit",
     untilExitMs: 3000,
     typicalMs: 500,
-    isExpendable: false,
+    isRetryable: false,
     expected: "granted",
   },
   {
     what: "may not end before the exit",
     untilExitMs: 2000,
     typicalMs: 500,
-    isExpendable: false,
+    isRetryable: false,
     expected: "leaving",
   },
   {
     what: "is expendable and may be cut short",
     untilExitMs: 2000,
     typicalMs: 500,
-    isExpendable: true,
+    isRetryable: true,
     expected: "granted",
   },
   {
     what: "is expendable and will be cut short",
     untilExitMs: 1000,
     typicalMs: 500,
-    isExpendable: true,
+    isRetryable: true,
     expected: "leaving",
   },
   {
     what: "ends by its deadline before the exit",
     untilExitMs: 1000,
     typicalMs: 500,
-    isExpendable: false,
+    isRetryable: false,
     remainingMs: 900,
     expected: "granted",
   },
@@ -174,7 +174,7 @@
   gate.closeBy(4000);
   requestSlot("a", { remainingMs: 10_000, typicalMs: 400 });
   run("a", 3900);
-  requestSlot("b", { remainingMs: 10_000, typicalMs: 400, isExpendable: false });
+  requestSlot("b", { remainingMs: 10_000, typicalMs: 400, isRetryable: false });
   t.is(replyTo("b"), "waits");
   await clock.advance(1900);
   t.is(replyTo("b"), "leaving");
@@ -185,7 +185,7 @@
   requestSlot("a");
   run("a", 500);
   requestSlot("b");
-  target.takesWork = false;
+  target.acceptsRequests = false;
   gate.reevaluateQueue();
   requestSlot("c");
   t.deepEqual(["b", "c"].map(replyTo), ["leaving", "leaving"]);
@@ -209,12 +209,12 @@
     isSuspect: false,
     admits: () => !detector.isSuspect,
   };
-  detector.note = () => (detector.isSuspect = true);
+  detector.recordOutcome = () => (detector.isSuspect = true);
   const { gate, requestSlot, replyTo, grantOf } = rig(2, detector);
   requestSlot("a");
   requestSlot("b");
-  requestSlot("c", { isExpendable: false });
-  gate.take(grantOf("a"));
+  requestSlot("c", { isRetryable: false });
+  gate.redeem(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Failed);
   t.is(replyTo("c"), "suspect");
 });
@@ -228,12 +228,12 @@
   const detector = new GrayFailureDetector({ rule: () => rule, clock, log });
   const { gate, requestSlot, replyTo, grantOf } = rig(1, detector, clock);
   await clock.advance(500);
-  detector.note(AttemptOutcome.Failed, 1, 0);
-  requestSlot("a", { acceptsRisk: 0.8, isExpendable: false });
-  requestSlot("b", { acceptsRisk: 0.8, isExpendable: false });
-  requestSlot("any", { acceptsRisk: 1, isExpendable: false });
+  detector.recordOutcome(AttemptOutcome.Failed, 1, 0);
+  requestSlot("a", { acceptsRisk: 0.8, isRetryable: false });
+  requestSlot("b", { acceptsRisk: 0.8, isRetryable: false });
+  requestSlot("any", { acceptsRisk: 1, isRetryable: false });
   t.deepEqual(["a", "b", "any"].map(replyTo), ["granted", "waits", "waits"]);
-  gate.take(grantOf("a"));
+  gate.redeem(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Failed);
   t.is(replyTo("b"), "suspect");
   t.is(replyTo("any"), "granted");
@@ -266,10 +266,13 @@
 test("gate: reports an overdue run to the detector while it is in progress", async (t) => {
   // A target hangs. This must be noticed long before the deadlines of its first runs.
   let overdue = 0;
-  const detector: HealthDetector = { ...AlwaysHealthyDetector, noteOverdue: () => (overdue += 1) };
+  const detector: HealthDetector = {
+    ...AlwaysHealthyDetector,
+    recordOverdue: () => (overdue += 1),
+  };
   const { clock, gate, requestSlot, grantOf } = rig(2, detector);
   requestSlot("a", { typicalMs: 100 });
-  gate.take(grantOf("a"));
+  gate.redeem(grantOf("a"));
   await clock.advance(299);
   t.is(overdue, 0);
   await clock.advance(1);
@@ -318,6 +321,6 @@
     const { clock, gate, requestSlot, grantOf } = rig(1);
     requestSlot("a", { bodyBytes, remainingMs: 10_000 });
     await clock.advance(afterMs);
-    t.is(gate.take(grantOf("a")) !== undefined, isValid);
+    t.is(gate.redeem(grantOf("a")) !== undefined, isValid);
   });
 }
--- a/src/sidecar/gate/Gate.ts
+++ b/src/sidecar/gate/Gate.ts
@@ -8,7 +8,7 @@
 import { RefusalReason } from "../hop/RefusalReason.ts";
 import { AdmissionQueue } from "./AdmissionQueue.ts";
 import type { GrantIds } from "./GrantIds.ts";
-import { runRoomMs } from "./runRoomMs.ts";
+import { runAllowanceMs } from "./runAllowanceMs.ts";
 import { SlotTable } from "./SlotTable.ts";
 import type { QueuedRequest } from "./QueuedRequest.ts";
 
@@ -17,7 +17,7 @@
   /** Number of requests that the target can run at once. */
   readonly slots: number;
   /** Whether the target accepts new requests: it is ready and not leaving. */
-  readonly takesWork: boolean;
+  readonly acceptsRequests: boolean;
 }
 
 interface GateDeps {
@@ -29,9 +29,9 @@
   /**
    * Whether a run that began at `since` (ms) may be waiting for a nested call; if absent, runs make no nested calls.
    */
-  readonly waitsForCall?: (since: number) => boolean;
+  readonly mayAwaitNestedCall?: (since: number) => boolean;
   /** Called when the health state of the target changes: healthy, suspect or ejected. */
-  readonly onJudged?: (load: GateLoad) => void;
+  readonly onHealthChange?: (load: GateLoad) => void;
   /** Order in which queued requests are served; by default that of `goesBefore`. */
   readonly order?: ConstructorParameters<typeof AdmissionQueue>[0];
 }
@@ -76,7 +76,7 @@
 /** A slot request in progress, which its sender can withdraw. */
 interface SlotRequestHandle {
   /** Whether the request was queued rather than granted or refused at once. */
-  readonly queued: boolean;
+  readonly isQueued: boolean;
   /** Removes the request from the queue, or revokes its grant if that is unused. */
   withdraw(): void;
 }
@@ -125,7 +125,7 @@
    * later.
    */
   requestSlot(request: SlotRequest, reply: (reply: SlotReply) => void): SlotRequestHandle {
-    const waiting = { request, askedAt: this.#deps.clock.now() };
+    const waiting = { request, receivedAt: this.#deps.clock.now() };
     let grant: GrantId | undefined;
     const onReply = (slotReply: SlotReply) => {
       grant = slotReply.kind === "granted" ? slotReply.grant : undefined;
@@ -139,16 +139,16 @@
     const refusal = this.#refusalReason(waiting) ?? this.#refusalReasonOnArrival(request);
     if (refusal !== undefined) {
       onReply(this.#refuse(refusal, waiting));
-      return { queued: false, withdraw: () => undefined };
+      return { isQueued: false, withdraw: () => undefined };
     }
     if (this.#hasIdleSlot) {
-      this.#queue.recordGrant(waiting, waiting.askedAt, this.#serviceMs);
+      this.#queue.recordGrant(waiting, waiting.receivedAt, this.#serviceMs);
       this.#grant(request, onReply);
-      return { queued: false, withdraw: revoke };
+      return { isQueued: false, withdraw: revoke };
     }
     this.#queue.add(waiting, onReply);
     return {
-      queued: true,
+      isQueued: true,
       withdraw: () => {
         if (!this.#queue.remove(waiting)) {
           revoke();
@@ -165,7 +165,7 @@
   }
 
   /** Uses a grant and begins its run; undefined if the grant has expired. */
-  take(grant: GrantId): SlotRequest | undefined {
+  redeem(grant: GrantId): SlotRequest | undefined {
     return this.#slots.redeem(
       grant,
       (request) => this.#typicalRunMs(request) * OVERDUE_FACTOR,
@@ -178,11 +178,11 @@
    * against it.
    */
   #reportOverdue(since: number): boolean {
-    if (this.#deps.waitsForCall?.(since)) {
+    if (this.#deps.mayAwaitNestedCall?.(since)) {
       return false;
     }
     this.#updateDetector(() => {
-      this.#deps.detector.noteOverdue(this.#deps.clock.now() - since);
+      this.#deps.detector.recordOverdue(this.#deps.clock.now() - since);
     });
     return true;
   }
@@ -197,7 +197,7 @@
     // A run that was overdue and then timed out counts as a single observation.
     if (!(wasOverdue && outcome === AttemptOutcome.TimedOut)) {
       this.#updateDetector(() => {
-        this.#deps.detector.note(outcome, ms, request.typicalMs);
+        this.#deps.detector.recordOutcome(outcome, ms, request.typicalMs);
       });
     }
     this.#updateServiceMs(ms);
@@ -211,7 +211,7 @@
     update();
     if (this.#health !== before) {
       this.reevaluateQueue();
-      this.#deps.onJudged?.(this.load);
+      this.#deps.onHealthChange?.(this.load);
     }
   }
 
@@ -261,7 +261,7 @@
   closeBy(endAt: number): void {
     this.#shutdownAt = endAt;
     this.reevaluateQueue();
-    this.#deps.onJudged?.(this.load);
+    this.#deps.onHealthChange?.(this.load);
     this.#reevaluateUntilShutdown();
   }
 
@@ -310,17 +310,17 @@
 
   /** Why a request, queued or new, cannot be granted now or later; undefined if it can. */
   #refusalReason(waiting: QueuedRequest): RefusalReason | undefined {
-    const { request, askedAt } = waiting;
+    const { request, receivedAt } = waiting;
     const target = this.#deps.target();
     if (!target) {
       return RefusalReason.NoTarget;
     }
     const now = this.#deps.clock.now();
-    const remainingMs = request.remainingMs - (now - askedAt);
+    const remainingMs = request.remainingMs - (now - receivedAt);
     const waitMs = this.#waitMs(waiting);
     const endsTooSoon =
       now + waitMs + this.#runAllowanceMs({ ...request, remainingMs }) > this.#shutdownAt;
-    if (this.#closed || !target.takesWork || endsTooSoon) {
+    if (this.#closed || !target.acceptsRequests || endsTooSoon) {
       return RefusalReason.Leaving;
     }
     if (!this.#deps.detector.admits(request, this.#slots.probes)) {
@@ -333,7 +333,7 @@
   #runAllowanceMs(request: SlotRequest): number {
     return Math.min(
       request.remainingMs,
-      runRoomMs(this.#typicalRunMs(request), request.isExpendable),
+      runAllowanceMs(this.#typicalRunMs(request), request.isRetryable),
     );
   }
 
@@ -399,7 +399,7 @@
   /** Grants a slot to a dequeued request, or refuses it if it can no longer be served. */
   #grantOrRefuse({ waiting, reply }: NonNullable<ReturnType<AdmissionQueue["dequeue"]>>): void {
     const now = this.#deps.clock.now();
-    const remainingMs = waiting.request.remainingMs - (now - waiting.askedAt);
+    const remainingMs = waiting.request.remainingMs - (now - waiting.receivedAt);
     const current = { ...waiting.request, remainingMs };
     if (!reply || remainingMs <= 0) {
       return; // The sender has given up by its own clock.
--- a/src/sidecar/gate/GateServer.test.ts
+++ b/src/sidecar/gate/GateServer.test.ts
@@ -34,7 +34,7 @@
 async function rig() {
   const grants = new GrantIds("this incarnation");
   const gate = new Gate({
-    target: () => ({ slots: 1, takesWork: true }),
+    target: () => ({ slots: 1, acceptsRequests: true }),
     detector: AlwaysHealthyDetector,
     clock: SystemClock,
     grants,
@@ -43,7 +43,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs: new RunTable(SystemClock),
-    here: new ActiveRuns(SystemClock),
+    activeRuns: new ActiveRuns(SystemClock),
     target: () => makeTarget(TARGET),
     send: (_target, req) => {
       sent.push(req);
--- a/src/sidecar/gate/GateServer.ts
+++ b/src/sidecar/gate/GateServer.ts
@@ -10,7 +10,7 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { Tracing } from "../../common/telemetry/Tracing.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import { endToEnd } from "../forwarding/endToEnd.ts";
+import { forwardableHeaders } from "../forwarding/forwardableHeaders.ts";
 import type { HeaderList } from "../forwarding/HeaderList.ts";
 import { withHeaders } from "../forwarding/withHeaders.ts";
 import { openBody } from "../forwarding/openBody.ts";
@@ -34,7 +34,7 @@
  * configured limit. A small body is buffered before the run, so that the target does not get half of it if that
  * sidecar exits.
  */
-const BODY_LIMITS = { mostBytes: Infinity, wholeBytes: 256 * 1024 };
+const BODY_LIMITS = { maxBytes: Infinity, maxBufferedBytes: 256 * 1024 };
 
 /** Headers used between sidecars, which are not passed to the target. */
 const HOP_HEADERS = new Set<string>(Object.values(HOP));
@@ -70,7 +70,7 @@
   }
 
   async #route(req: IncomingMessage, res: ServerResponse): Promise<void> {
-    if (req.url === HOP.joinPath && req.headers[HOP.grant] !== undefined) {
+    if (req.url === HOP.reattachPath && req.headers[HOP.grant] !== undefined) {
       await this.#reattach(req, res);
     } else if (req.headers[HOP.attempt] !== undefined) {
       await this.#run(req, res);
@@ -110,7 +110,7 @@
     });
     const body = "body" in opened ? opened.body : undefined;
     const startedAt = clock.now();
-    const span = this.#deps.tracing.begin("sidecar.run", req.headers);
+    const span = this.#deps.tracing.startSpan("sidecar.run", req.headers);
     const result = await runner.run(grant, () => ({
       ...this.#request(req, grant, { arrivedAt, callerGone: callerGone.signal }),
       headers: withHeaders(withoutHopHeaders(req.rawHeaders), span.headers),
@@ -136,7 +136,7 @@
     return {
       method: req.method ?? "GET",
       path: req.url ?? "/",
-      words: {
+      metadata: {
         attempt,
         target,
         callerService: ServiceName(String(headers[HOP.caller] ?? "")),
@@ -148,7 +148,7 @@
       // A run that must not be repeated goes on when its caller disconnects: aborting it would only leave its
       // outcome unknown.
       cancelled: idempotent ? callerGone : undefined,
-      wholeAnswer: !idempotent,
+      bufferResponse: !idempotent,
     };
   }
 
@@ -219,7 +219,7 @@
 }
 
 function withoutHopHeaders(headers: HeaderList): HeaderList {
-  return endToEnd(headers, (name) => HOP_HEADERS.has(name));
+  return forwardableHeaders(headers, (name) => HOP_HEADERS.has(name));
 }
 
 /** Signals a waiting sidecar periodically that its request is alive (status 102, RFC 2518). */
@@ -255,7 +255,7 @@
   headers: Readonly<Record<string, string | string[] | undefined>>,
 ): Record<string, string | string[] | undefined> {
   const list = Object.keys(headers).flatMap((name) => [name, ""]);
-  const kept = new Set(endToEnd(list));
+  const kept = new Set(forwardableHeaders(list));
   return Object.fromEntries(Object.entries(headers).filter(([name]) => kept.has(name)));
 }
 
--- a/src/sidecar/gate/QueuedRequest.ts
+++ b/src/sidecar/gate/QueuedRequest.ts
@@ -4,5 +4,5 @@
 export interface QueuedRequest {
   readonly request: SlotRequest;
   /** When it was received, by the gate's clock, ms. */
-  readonly askedAt: number;
+  readonly receivedAt: number;
 }
--- a/src/sidecar/gate/SlotRequestQueue.test.ts
+++ b/src/sidecar/gate/SlotRequestQueue.test.ts
@@ -7,9 +7,9 @@
 type Row = readonly [
   name: string,
   priority: number,
-  askedAt: number,
+  receivedAt: number,
   objectiveMs: number,
-  isCall?: boolean,
+  isNestedCall?: boolean,
 ];
 
 const cases: readonly {
@@ -126,9 +126,15 @@
 for (const { name, now, serviceMs, rows, order } of cases) {
   test(`slot request queue: ${name}`, (t) => {
     const queue = new SlotRequestQueue();
-    for (const [attempt, priority, askedAt, objectiveMs, isCall = false] of rows) {
-      const request = makeSlotRequest({ attempt, priority, objectiveMs, isCall, typicalMs: 0 });
-      queue.add({ request, askedAt });
+    for (const [attempt, priority, receivedAt, objectiveMs, isNestedCall = false] of rows) {
+      const request = makeSlotRequest({
+        attempt,
+        priority,
+        objectiveMs,
+        isNestedCall,
+        typicalMs: 0,
+      });
+      queue.add({ request, receivedAt });
     }
     const taken = rows.map(() => queue.dequeue(now, serviceMs)?.request.attempt);
     t.is(taken.join(""), order);
@@ -140,14 +146,14 @@
   const queue = new SlotRequestQueue();
   queue.add({
     request: makeSlotRequest({ attempt: "a", priority: 1, objectiveMs: 500 }),
-    askedAt: 0,
+    receivedAt: 0,
   });
   queue.add({
     request: makeSlotRequest({ attempt: "b", priority: 2, objectiveMs: 1100 }),
-    askedAt: 0,
+    receivedAt: 0,
   });
   const ahead = (over: Parameters<typeof makeSlotRequest>[0]) =>
-    queue.ahead({ request: makeSlotRequest(over), askedAt: 0 }, 0, 50).length;
+    queue.ahead({ request: makeSlotRequest(over), receivedAt: 0 }, 0, 50).length;
   t.is(ahead({ priority: 0 }), 0);
   t.is(ahead({ priority: 1, objectiveMs: 900 }), 1);
   t.is(ahead({ priority: 3, objectiveMs: 1000 }), 2);
@@ -156,7 +162,10 @@
 test("slot request queue: lateness is judged by the typical time of the request, not by the mean of the target", (t) => {
   const queue = new SlotRequestQueue();
   const row = (attempt: string, typicalMs: number) =>
-    ({ request: makeSlotRequest({ attempt, objectiveMs: 300, typicalMs }), askedAt: 0 }) as const;
+    ({
+      request: makeSlotRequest({ attempt, objectiveMs: 300, typicalMs }),
+      receivedAt: 0,
+    }) as const;
   queue.add(row("long", 200));
   queue.add(row("short", 20));
   t.is(queue.dequeue(150, 100)?.request.attempt, AttemptId("short"));
@@ -164,7 +173,7 @@
 
 test("slot request queue: a removed request is not served", (t) => {
   const queue = new SlotRequestQueue();
-  const waiting = { request: makeSlotRequest(), askedAt: 0 };
+  const waiting = { request: makeSlotRequest(), receivedAt: 0 };
   queue.add(waiting);
   t.true(queue.remove(waiting));
   t.false(queue.remove(waiting));
--- a/src/sidecar/gate/SlotServer.test.ts
+++ b/src/sidecar/gate/SlotServer.test.ts
@@ -9,7 +9,7 @@
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import { AlwaysHealthyDetector } from "../detection/AlwaysHealthyDetector.ts";
-import { gateWire } from "../hop/gateWire.ts";
+import { gateCodec } from "../hop/gateCodec.ts";
 import { SlotServer } from "./SlotServer.ts";
 import { Gate } from "./Gate.ts";
 import { GrantIds } from "./GrantIds.ts";
@@ -18,7 +18,7 @@
 function rig() {
   const clock = new FakeClock();
   const gate = new Gate({
-    target: () => ({ slots: 1, takesWork: true }),
+    target: () => ({ slots: 1, acceptsRequests: true }),
     detector: AlwaysHealthyDetector,
     clock,
     grants: new GrantIds("b"),
@@ -26,8 +26,8 @@
   const sent: { to: string; message: ProtoTypes["GateMessage"] }[] = [];
   const server = new SlotServer({
     gates: { get: (id) => (id === TargetId("x") ? gate : undefined) },
-    metrics: { refused: () => undefined, waited: () => undefined },
-    tell: (to, message) => sent.push({ to, message }),
+    metrics: { countRefusal: () => undefined, observeQueueWait: () => undefined },
+    sendGateMessage: (to, message) => sent.push({ to, message }),
     clock,
     log: bunyan.createLogger({ name: "test", level: "fatal" }),
   });
@@ -37,19 +37,19 @@
     overrides: Parameters<typeof makeSlotRequest>[0] = {},
   ) => {
     server.receive(
-      gateWire.ask(id, makeSlotRequest({ attempt: `${from}-${id}`, ...overrides })),
+      gateCodec.slotRequest(id, makeSlotRequest({ attempt: `${from}-${id}`, ...overrides })),
       from,
     );
   };
   const sentMessages = () =>
     sent.map(({ to, message }) => {
-      const reply = gateWire.readReply(message);
+      const reply = gateCodec.readReply(message);
       const what = reply?.kind === "refused" ? reply.reason : reply?.kind;
       return `${to}: ${what ?? (message.queued ? "queued" : "news")}`;
     });
   /** The last grant sent to `to`. */
   const grantOf = (to: string): GrantId => {
-    const replies = sent.filter((m) => m.to === to).map((m) => gateWire.readReply(m.message));
+    const replies = sent.filter((m) => m.to === to).map((m) => gateCodec.readReply(m.message));
     const grant = replies.findLast((r) => r?.kind === "granted");
     return grant?.kind === "granted" ? grant.grant : GrantId("none");
   };
@@ -60,7 +60,7 @@
   const { gate, requestSlot, sentMessages, grantOf } = rig();
   requestSlot("a", 1);
   requestSlot("b", 1);
-  gate.take(grantOf("a"));
+  gate.redeem(grantOf("a"));
   gate.end(grantOf("a"), AttemptOutcome.Ok);
   t.deepEqual(sentMessages(), ["a: granted", "b: queued", "b: granted"]);
 });
@@ -87,7 +87,7 @@
 test("slot server: a used grant is not sent again", async (t) => {
   const { clock, gate, requestSlot, sentMessages, grantOf } = rig();
   requestSlot("a", 1);
-  gate.take(grantOf("a"));
+  gate.redeem(grantOf("a"));
   await clock.advance(1000);
   t.deepEqual(sentMessages(), ["a: granted"]);
 });
@@ -97,8 +97,8 @@
   requestSlot("a", 1);
   requestSlot("b", 1);
   requestSlot("c", 1);
-  server.receive(gateWire.withdrawn(1), "b");
-  server.receive(gateWire.withdrawn(1), "a");
+  server.receive(gateCodec.withdrawn(1), "b");
+  server.receive(gateCodec.withdrawn(1), "a");
   t.deepEqual(sentMessages(), ["a: granted", "b: queued", "c: queued", "c: granted"]);
   t.is(gate.load.queued, 0);
 });
@@ -106,7 +106,7 @@
 test("slot server: removes queued requests past their deadline, even if their sender is gone", async (t) => {
   const { clock, gate, requestSlot, grantOf } = rig();
   requestSlot("a", 1);
-  gate.take(grantOf("a"));
+  gate.redeem(grantOf("a"));
   requestSlot("b", 1, { remainingMs: 900 });
   await clock.advance(3000);
   requestSlot("c", 1, { remainingMs: 5000 });
@@ -116,9 +116,9 @@
 test("slot server: refuses requests for a target that is not local, and ignores malformed messages", (t) => {
   const { server, sentMessages } = rig();
   const elsewhere = { ...makeSlotRequest(), target: TargetId("y") };
-  server.receive(gateWire.ask(1, elsewhere), "a");
-  server.receive({ ...gateWire.ask(2, elsewhere), ask: null }, "a");
-  server.receive(gateWire.ask(3, { ...elsewhere, attempt: AttemptId("") }), "a");
+  server.receive(gateCodec.slotRequest(1, elsewhere), "a");
+  server.receive({ ...gateCodec.slotRequest(2, elsewhere), ask: null }, "a");
+  server.receive(gateCodec.slotRequest(3, { ...elsewhere, attempt: AttemptId("") }), "a");
   t.deepEqual(sentMessages(), ["a: no-target"]);
 });
 
--- a/src/sidecar/gate/SlotServer.ts
+++ b/src/sidecar/gate/SlotServer.ts
@@ -8,7 +8,7 @@
 import type { SlotRequest } from "../hop/SlotRequest.ts";
 import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
-import { gateWire } from "../hop/gateWire.ts";
+import { gateCodec } from "../hop/gateCodec.ts";
 import { RefusalReason } from "../hop/RefusalReason.ts";
 import type { TargetGates } from "./TargetGates.ts";
 
@@ -50,9 +50,9 @@
 
 interface SlotServerDeps {
   readonly gates: Pick<TargetGates, "get">;
-  readonly metrics: Pick<SidecarMetrics, "refused" | "waited">;
+  readonly metrics: Pick<SidecarMetrics, "countRefusal" | "observeQueueWait">;
   /** Sends a datagram, which may be lost. */
-  readonly tell: (address: string, message: GateMessage) => void;
+  readonly sendGateMessage: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
@@ -94,13 +94,13 @@
       this.#entries.delete(key);
       return;
     }
-    const request = gateWire.readAsk(message);
+    const request = gateCodec.readSlotRequest(message);
     if (!request) {
       return;
     }
     const { lastMessage } = this.#entries.get(key) ?? {};
     if (lastMessage) {
-      this.#deps.tell(from, lastMessage);
+      this.#deps.sendGateMessage(from, lastMessage);
     } else {
       this.#accept(key, request, message.ask_id, from);
     }
@@ -109,10 +109,10 @@
   /** Sends the load of a target to all recent requesters. */
   publishLoad(target: TargetId, load: GateLoad): void {
     const since = this.#deps.clock.now() - SUBSCRIPTION_MS;
-    const update = gateWire.news(target, load);
+    const update = gateCodec.loadUpdate(target, load);
     const recent = [...this.#subscribers].filter(([, at]) => at >= since).slice(-MAX_SUBSCRIBERS);
     for (const [address] of recent) {
-      this.#deps.tell(address, update);
+      this.#deps.sendGateMessage(address, update);
     }
   }
 
@@ -133,13 +133,13 @@
     this.#entries.set(key, entry);
     const send = (message: GateMessage) => {
       entry.lastMessage = message;
-      this.#deps.tell(from, message);
+      this.#deps.sendGateMessage(from, message);
     };
     const onReply = (reply: SlotReply) => {
       entry.isSettled = true;
       entry.expiresAt = clock.now() + RETENTION_MS;
       this.#recordReply(entry, reply);
-      send(gateWire.reply(id, reply));
+      send(gateCodec.reply(id, reply));
       if (reply.kind === "granted") {
         this.#scheduleGrantResends(entry, reply.grant, from);
       }
@@ -153,8 +153,8 @@
     entry.withdraw = () => {
       handle.withdraw();
     };
-    if (handle.queued) {
-      send(gateWire.queued(id, gate.load));
+    if (handle.isQueued) {
+      send(gateCodec.queued(id, gate.load));
     }
   }
 
@@ -162,7 +162,7 @@
     for (const ms of GRANT_RESEND_DELAYS_MS) {
       this.#deps.clock.after(ms, () => {
         if (lastMessage && this.#isPending(request.target, grant)) {
-          this.#deps.tell(from, lastMessage);
+          this.#deps.sendGateMessage(from, lastMessage);
         }
       });
     }
@@ -175,11 +175,11 @@
   #recordReply({ request, receivedAt }: Entry, reply: SlotReply): void {
     const { metrics, clock, log } = this.#deps;
     if (reply.kind === "granted") {
-      metrics.waited(clock.now() - receivedAt);
+      metrics.observeQueueWait(clock.now() - receivedAt);
       return;
     }
     const { reason, load } = reply;
-    metrics.refused(reason);
+    metrics.countRefusal(reason);
     const { attempt, target } = request;
     log.info({ attempt, target, reason, load }, "slot refused");
   }
--- a/src/sidecar/gate/TargetGates.test.ts
+++ b/src/sidecar/gate/TargetGates.test.ts
@@ -38,14 +38,14 @@
     clock,
     grants,
     log,
-    onNewLife: ({ born }) => restarts.push(born),
+    onTargetRestart: ({ born }) => restarts.push(born),
   });
   const runner = new TargetRunner({
     gates,
     runs: new RunTable(clock),
-    here: new ActiveRuns(clock),
+    activeRuns: new ActiveRuns(clock),
     target: () => targets[0],
-    send: (_target, { lost }) =>
+    send: (_target, { targetRestarted: lost }) =>
       new Promise<ForwardResult>((resolve) => {
         lost?.addEventListener("abort", () => {
           resolve({
@@ -56,7 +56,7 @@
               timedOut: false,
               retryAfterMs: 0,
             },
-            outcome: AttemptOutcome.NoAnswer,
+            outcome: AttemptOutcome.NoResponse,
           });
         });
       }),
--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -16,11 +16,11 @@
   readonly log: bunyan;
   readonly grants: GrantIds;
   /** Whether a run that began at `since` (ms) may be waiting for a nested call. */
-  readonly waitsForCall?: (since: number) => boolean;
+  readonly mayAwaitNestedCall?: (since: number) => boolean;
   /** Called when the health state of a target changes. */
-  readonly onJudged?: (target: TargetId, load: GateLoad) => void;
+  readonly onHealthChange?: (target: TargetId, load: GateLoad) => void;
   /** Called when a target has restarted under its id, after the gate of its previous incarnation was retired. */
-  readonly onNewLife?: (target: TargetInfo) => void;
+  readonly onTargetRestart?: (target: TargetInfo) => void;
 }
 
 /** The gate of one incarnation of a target. */
@@ -103,21 +103,28 @@
     entry.gate.retire();
     const { id, born } = target;
     this.#deps.log.info({ target: id, born, before: entry.born }, "target restarted");
-    this.#deps.onNewLife?.(target);
+    this.#deps.onTargetRestart?.(target);
   }
 
   #createGate(target: TargetInfo): Gate {
-    const { clock, grants, detectorOf, targets, log, waitsForCall } = this.#deps;
+    const {
+      clock,
+      grants,
+      detectorOf,
+      targets,
+      log,
+      mayAwaitNestedCall: waitsForCall,
+    } = this.#deps;
     const { id, born } = target;
     const gate = new Gate({
       target: () => {
         const now = targets().find((t) => t.id === id && t.born === born);
-        return now && { slots: now.slots, takesWork: now.state === TargetState.Ready };
+        return now && { slots: now.slots, acceptsRequests: now.state === TargetState.Ready };
       },
       detector: detectorOf(target),
-      waitsForCall,
-      onJudged: (load) => {
-        this.#deps.onJudged?.(id, load);
+      mayAwaitNestedCall: waitsForCall,
+      onHealthChange: (load) => {
+        this.#deps.onHealthChange?.(id, load);
       },
       clock,
       grants,
--- a/src/sidecar/gate/TargetRunner.test.ts
+++ b/src/sidecar/gate/TargetRunner.test.ts
@@ -31,8 +31,8 @@
   const reported: AttemptOutcome[] = [];
   const grants = new GrantIds(BOOT);
   const gate = new Gate({
-    target: () => ({ slots: 1, takesWork: true }),
-    detector: { ...AlwaysHealthyDetector, note: (outcome) => reported.push(outcome) },
+    target: () => ({ slots: 1, acceptsRequests: true }),
+    detector: { ...AlwaysHealthyDetector, recordOutcome: (outcome) => reported.push(outcome) },
     clock,
     grants,
   });
@@ -42,7 +42,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs,
-    here,
+    activeRuns: here,
     target: () => makeTarget(target),
     send: () => {
       sends += 1;
@@ -199,6 +199,8 @@
     end(results.failed);
     const out = await running;
     t.is(out.outcome, AttemptOutcome.Failed, "the sender gets the failure");
-    t.deepEqual(reported, [countsAgainstTarget ? AttemptOutcome.Failed : AttemptOutcome.CallLost]);
+    t.deepEqual(reported, [
+      countsAgainstTarget ? AttemptOutcome.Failed : AttemptOutcome.NestedCallFailed,
+    ]);
   });
 }
--- a/src/sidecar/gate/TargetRunner.ts
+++ b/src/sidecar/gate/TargetRunner.ts
@@ -25,7 +25,7 @@
 interface TargetRunnerDeps {
   readonly gates: Pick<TargetGates, "get">;
   readonly runs: RunTable;
-  readonly here: ActiveRuns;
+  readonly activeRuns: ActiveRuns;
   /** Looks up a local target. */
   readonly target: (id: TargetId) => TargetInfo | undefined;
   /** Sends a request to the target; if it has an idempotency key, at most once under that key. */
@@ -59,7 +59,7 @@
   run(ref: GrantRef, makeRequest: () => TargetRequest): Promise<ForwardResult> {
     const target = this.#deps.target(ref.target);
     const gate = this.#deps.gates.get(ref.target);
-    if (!target || !gate?.take(ref.grant)) {
+    if (!target || !gate?.redeem(ref.grant)) {
       return this.outcomeOf(ref);
     }
     const req = makeRequest();
@@ -107,12 +107,12 @@
     target: TargetInfo,
     req: TargetRequest,
   ): Promise<ForwardResult> {
-    const activeRun = this.#deps.here.begin();
-    let outcome = AttemptOutcome.NoAnswer;
+    const activeRun = this.#deps.activeRuns.begin();
+    let outcome = AttemptOutcome.NoResponse;
     try {
-      const result = await this.#deps.send(target, { ...req, lost: gate.retired });
+      const result = await this.#deps.send(target, { ...req, targetRestarted: gate.retired });
       outcome = this.#detectorOutcome(result, activeRun, { attempt, target: target.id });
-      return { ...result, calls: this.#deps.here.callMeans };
+      return { ...result, calls: this.#deps.activeRuns.callMeans };
     } finally {
       activeRun.end();
       gate.end(grant, outcome);
@@ -135,7 +135,7 @@
       return outcome;
     }
     this.#deps.log.info({ ...names, lostCall }, "run failed after a lost nested call");
-    return AttemptOutcome.CallLost;
+    return AttemptOutcome.NestedCallFailed;
   }
 }
 
--- a/src/sidecar/gate/WaitEstimator.test.ts
+++ b/src/sidecar/gate/WaitEstimator.test.ts
@@ -12,12 +12,12 @@
 
 const onTime = (attempt: string) => ({
   request: makeSlotRequest({ attempt, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS }),
-  askedAt: 0,
+  receivedAt: 0,
 });
 
 const late = (attempt: string) => ({
   request: makeSlotRequest({ attempt, objectiveMs: 100, typicalMs: WORK_MS }),
-  askedAt: 0,
+  receivedAt: 0,
 });
 
 const cases: readonly {
@@ -77,44 +77,48 @@
 const nestedCallCases: readonly {
   name: string;
   callGrants: number;
-  isCall: boolean;
+  isNestedCall: boolean;
   waitMs: number;
 }[] = [
   {
     name: "without nested calls a caller's request waits for the next grant",
     callGrants: 0,
-    isCall: false,
+    isNestedCall: false,
     waitMs: 100,
   },
   {
     name: "where half of the slots go to nested calls, a caller's request waits for two grants",
     callGrants: 10,
-    isCall: false,
+    isNestedCall: false,
     waitMs: 191,
   },
   // Where nested calls used nearly all of a target's capacity, downloads were queued until their deadlines.
   {
     name: "where nearly all slots go to nested calls, a caller's request waits long",
     callGrants: 18,
-    isCall: false,
+    isNestedCall: false,
     waitMs: 700,
   },
   {
     name: "a nested call does not wait for nested calls received later",
     callGrants: 18,
-    isCall: true,
+    isNestedCall: true,
     waitMs: 100,
   },
 ];
 
-for (const { name, callGrants, isCall, waitMs } of nestedCallCases) {
+for (const { name, callGrants, isNestedCall, waitMs } of nestedCallCases) {
   test(`wait estimator: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     for (let n = 0; n < 20; n++) {
-      estimator.recordGrant({ isCall: n < callGrants, isLate: false });
+      estimator.recordGrant({ isNestedCall: n < callGrants, isLate: false });
     }
-    const request = makeSlotRequest({ isCall, objectiveMs: OBJECTIVE_MS, typicalMs: WORK_MS });
-    const ms = estimator.waitMs({ request, askedAt: 0 }, new SlotRequestQueue(), 0, PACE);
+    const request = makeSlotRequest({
+      isNestedCall,
+      objectiveMs: OBJECTIVE_MS,
+      typicalMs: WORK_MS,
+    });
+    const ms = estimator.waitMs({ request, receivedAt: 0 }, new SlotRequestQueue(), 0, PACE);
     t.is(Math.round(ms), waitMs);
   });
 }
@@ -123,7 +127,7 @@
   test(`wait estimator: ${name}`, (t) => {
     const estimator = new WaitEstimator();
     lateGrants.forEach((wasLate) => {
-      estimator.recordGrant({ isCall: false, isLate: wasLate });
+      estimator.recordGrant({ isNestedCall: false, isLate: wasLate });
     });
     const queue = new SlotRequestQueue();
     queued.forEach((ahead) => {
--- a/src/sidecar/gate/WaitEstimator.ts
+++ b/src/sidecar/gate/WaitEstimator.ts
@@ -18,7 +18,7 @@
 /** The kind of request that a slot was granted to. */
 interface GrantRecord {
   /** It was a nested call. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
   /** It could no longer meet its latency objective. */
   readonly isLate: boolean;
 }
@@ -62,14 +62,14 @@
   /** Grants until a request that is not late is served, its own included. */
   #grantsUntilServed({ request }: QueuedRequest, ahead: readonly QueuedRequest[]): number {
     const grants = ahead.length * SERVED_HERE_SHARE + 1;
-    if (request.isCall) {
+    if (request.isNestedCall) {
       return grants;
     }
     // Nested calls that arrive later will be served before it, too.
-    const callersAhead = ahead.filter((w) => !w.request.isCall).length;
+    const callersAhead = ahead.filter((w) => !w.request.isNestedCall).length;
     return Math.max(
       grants,
-      (callersAhead * SERVED_HERE_SHARE + 1) / this.#shareOf((g) => !g.isCall),
+      (callersAhead * SERVED_HERE_SHARE + 1) / this.#shareOf((g) => !g.isNestedCall),
     );
   }
 
--- a/src/sidecar/gate/goesBefore.ts
+++ b/src/sidecar/gate/goesBefore.ts
@@ -24,8 +24,8 @@
   now: number,
   serviceMs: number,
 ): boolean {
-  if (a.request.isCall !== b.request.isCall) {
-    return a.request.isCall;
+  if (a.request.isNestedCall !== b.request.isNestedCall) {
+    return a.request.isNestedCall;
   }
   const [lateA, lateB] = [isLate(a, now, serviceMs), isLate(b, now, serviceMs)];
   if (lateA !== lateB) {
@@ -35,10 +35,10 @@
   return rankOf(a) < rankOf(b);
 }
 
-function onTimeRank({ request, askedAt }: QueuedRequest): number {
-  return askedAt + request.objectiveMs + request.priority * PRIORITY_STEP_MS;
+function onTimeRank({ request, receivedAt }: QueuedRequest): number {
+  return receivedAt + request.objectiveMs + request.priority * PRIORITY_STEP_MS;
 }
 
-function lateRank({ request, askedAt }: QueuedRequest): number {
-  return askedAt + request.priority * LATE_PRIORITY_STEP_MS;
+function lateRank({ request, receivedAt }: QueuedRequest): number {
+  return receivedAt + request.priority * LATE_PRIORITY_STEP_MS;
 }
--- a/src/sidecar/gate/isLate.ts
+++ b/src/sidecar/gate/isLate.ts
@@ -7,10 +7,10 @@
  * @param serviceMs mean service time at the target, ms; used where the typical time of the request is unknown
  */
 export function isLate(
-  { request, askedAt }: QueuedRequest,
+  { request, receivedAt }: QueuedRequest,
   now: number,
   serviceMs: number,
 ): boolean {
   const workMs = request.typicalMs > 0 ? request.typicalMs : serviceMs;
-  return now + workMs > askedAt + request.objectiveMs;
+  return now + workMs > receivedAt + request.objectiveMs;
 }
--- a/src/sidecar/gate/runRoomMs.ts
+++ b/src/sidecar/gate/runAllowanceMs.ts
@@ -8,8 +8,8 @@
  * Time to reserve for a run ahead of an event that would cut it short, ms.
  *
  * @param typicalMs typical time of runs of its kind, ms
- * @param isExpendable whether another attempt is possible if this one is cut short
+ * @param isRetryable whether another attempt is possible if this one is cut short
  */
-export function runRoomMs(typicalMs: number, isExpendable: boolean): number {
-  return typicalMs * (isExpendable ? EXPENDABLE_ALLOWANCE_FACTOR : ALLOWANCE_FACTOR);
+export function runAllowanceMs(typicalMs: number, isRetryable: boolean): number {
+  return typicalMs * (isRetryable ? EXPENDABLE_ALLOWANCE_FACTOR : ALLOWANCE_FACTOR);
 }
--- a/src/sidecar/gate/unknownOutcome.ts
+++ b/src/sidecar/gate/unknownOutcome.ts
@@ -13,6 +13,6 @@
       timedOut: false,
       retryAfterMs: RETRY_AFTER_MS,
     },
-    outcome: AttemptOutcome.NoAnswer,
+    outcome: AttemptOutcome.NoResponse,
   };
 }
--- a/src/sidecar/hop/GateMessages.ts
+++ b/src/sidecar/hop/GateMessageDispatcher.ts
@@ -3,48 +3,55 @@
 import type { RetryCost } from "../routing/RetryCost.ts";
 import type { SlotClient } from "./SlotClient.ts";
 import type { GateLoad } from "./GateLoad.ts";
-import { gateWire } from "./gateWire.ts";
+import { gateCodec } from "./gateCodec.ts";
 import type { RetryTokenClient } from "./RetryTokenClient.ts";
 
 type GateMessage = ProtoTypes["GateMessage"];
 
 /** Receivers of gate messages: datagrams between sidecars about the load of targets, their slots and retry tokens. */
-interface GateMessagesDeps {
+interface GateMessageDispatcherDeps {
   /** Requests slots from the gates of other sidecars. */
   readonly slotClient: Pick<SlotClient, "receive">;
   /** Receives slot requests for the gates of this sidecar. */
   readonly gates: { receive(message: GateMessage, from: string): void };
   /** Chooses targets by their load and health. */
-  readonly policy: { noteLoad(target: TargetId, load: GateLoad): void };
+  readonly policy: { recordLoad(target: TargetId, load: GateLoad): void };
   /** Borrows retry tokens from other sidecars. */
-  readonly tokenClient: Pick<RetryTokenClient, "receive">;
+  readonly retryTokenClient: Pick<RetryTokenClient, "receive">;
   /** Lends retry tokens to other sidecars. */
   readonly budgets: { lend(costs: readonly RetryCost[]): boolean };
   /** Sends a datagram, which may be lost. */
-  readonly tell: (address: string, message: GateMessage) => void;
+  readonly sendGateMessage: (address: string, message: GateMessage) => void;
 }
 
 /**
  * Dispatches gate messages from other sidecars: slot requests and replies, load updates, and requests for retry tokens.
  */
-export class GateMessages {
-  readonly #deps: GateMessagesDeps;
+export class GateMessageDispatcher {
+  readonly #deps: GateMessageDispatcherDeps;
 
-  constructor(deps: GateMessagesDeps) {
+  constructor(deps: GateMessageDispatcherDeps) {
     this.#deps = deps;
   }
 
   /** Passes a message to its receiver; a request for retry tokens is replied to directly. */
-  take(message: GateMessage, from: string): void {
-    const { slotClient, gates, policy, tokenClient, budgets, tell } = this.#deps;
-    const update = gateWire.readNews(message);
-    const costs = gateWire.readRetryTokenRequest(message);
+  dispatch(message: GateMessage, from: string): void {
+    const {
+      slotClient,
+      gates,
+      policy,
+      retryTokenClient: tokenClient,
+      budgets,
+      sendGateMessage: tell,
+    } = this.#deps;
+    const update = gateCodec.readLoadUpdate(message);
+    const costs = gateCodec.readRetryTokenRequest(message);
     if (costs) {
-      tell(from, gateWire.retryTokenReply(message.ask_id, budgets.lend(costs)));
+      tell(from, gateCodec.retryTokenReply(message.ask_id, budgets.lend(costs)));
     } else if (message.loan) {
       tokenClient.receive(message);
     } else if (update) {
-      policy.noteLoad(update.target, update.load);
+      policy.recordLoad(update.target, update.load);
     } else if (message.ask || message.withdrawn) {
       gates.receive(message, from);
     } else {
--- a/src/sidecar/hop/HOP.ts
+++ b/src/sidecar/hop/HOP.ts
@@ -5,7 +5,7 @@
  */
 export const HOP = {
   /** `POST` reattaches to a run whose connection was lost; the response is the one that the run itself would get. */
-  joinPath: "/burdockpass-hop/v1/join",
+  reattachPath: "/burdockpass-hop/v1/join",
 
   /** Id of the attempt that is forwarded or reattached to. */
   attempt: "x-burdockpass-attempt",
--- a/src/sidecar/hop/HopClient.test.ts
+++ b/src/sidecar/hop/HopClient.test.ts
@@ -54,9 +54,9 @@
   test(`hop client: ${name}`, async (t) => {
     const [address, server] = await open();
     const client = new HopClient({
-      requestSlot: () => ({ answer: new Promise(() => undefined), giveUp: () => undefined }),
+      requestSlot: () => ({ result: new Promise(() => undefined), cancel: () => undefined }),
     });
-    const err = await t.throwsAsync(client.run(address, req, () => undefined).answer);
+    const err = await t.throwsAsync(client.run(address, req, () => undefined).result);
     t.is(err instanceof NotSentError, !isSent, err.message);
     await client.dispose();
     server.close();
--- a/src/sidecar/hop/HopClient.ts
+++ b/src/sidecar/hop/HopClient.ts
@@ -52,13 +52,13 @@
     });
   }
 
-  /** Reattaches to a run whose connection was lost; see {@link HopLink.join}. */
-  join(address: string, grant: GrantRef, onAlive: OnAlive): PendingCall<ForwardResult> {
+  /** Reattaches to a run whose connection was lost; see {@link HopLink.reattach}. */
+  reattach(address: string, grant: GrantRef, onAlive: OnAlive): PendingCall<ForwardResult> {
     this.retirePool(address);
     return this.#call(onAlive, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: "POST",
-        path: HOP.joinPath,
+        path: HOP.reattachPath,
         headers: grantHeaders(grant),
         signal,
         onInfo,
@@ -96,8 +96,8 @@
     // A cancelled call may have no handler left for the rejection.
     answer.catch(() => undefined);
     return {
-      answer,
-      giveUp: () => {
+      result: answer,
+      cancel: () => {
         controller.abort();
       },
     };
--- a/src/sidecar/hop/HopLink.ts
+++ b/src/sidecar/hop/HopLink.ts
@@ -23,5 +23,5 @@
    */
   run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult>;
   /** Reattaches to a run whose connection was lost: asks for its result over a new connection. */
-  join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult>;
+  reattach(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult>;
 }
--- a/src/sidecar/hop/PendingCall.ts
+++ b/src/sidecar/hop/PendingCall.ts
@@ -4,7 +4,7 @@
    * Resolves with the result of the call; rejects when the connection is lost. A cancelled HTTP call rejects, and a
    * cancelled slot request stays pending.
    */
-  readonly answer: Promise<T>;
+  readonly result: Promise<T>;
   /** Cancels the call and notifies the other sidecar. */
-  giveUp(): void;
+  cancel(): void;
 }
--- a/src/sidecar/hop/RetryTokenClient.ts
+++ b/src/sidecar/hop/RetryTokenClient.ts
@@ -2,7 +2,7 @@
 import type { Timer } from "../../common/lifecycle/Timer.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import type { RetryCost } from "../routing/RetryCost.ts";
-import { gateWire } from "./gateWire.ts";
+import { gateCodec } from "./gateCodec.ts";
 
 type GateMessage = ProtoTypes["GateMessage"];
 
@@ -11,7 +11,7 @@
 
 interface RetryTokenClientDeps {
   /** Sends a datagram, which may be lost. */
-  readonly tell: (address: string, message: GateMessage) => void;
+  readonly sendGateMessage: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
 }
 
@@ -38,7 +38,7 @@
    * Requests retry tokens from the sidecar at `address`. Resolves to false if its retry budget does not cover the
    * costs, or if it does not reply in time.
    */
-  ask(address: string, costs: readonly RetryCost[]): Promise<boolean> {
+  requestToken(address: string, costs: readonly RetryCost[]): Promise<boolean> {
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
     return new Promise((resolve) => {
@@ -51,7 +51,7 @@
         settle(false);
       });
       this.#pending.set(id, { settle, timer });
-      this.#deps.tell(address, gateWire.retryTokenRequest(id, costs));
+      this.#deps.sendGateMessage(address, gateCodec.retryTokenRequest(id, costs));
     });
   }
 
--- a/src/sidecar/hop/SlotClient.test.ts
+++ b/src/sidecar/hop/SlotClient.test.ts
@@ -5,7 +5,7 @@
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
 import { SlotClient } from "./SlotClient.ts";
 import type { SlotReply } from "./SlotReply.ts";
-import { gateWire } from "./gateWire.ts";
+import { gateCodec } from "./gateCodec.ts";
 
 const GATE = "10.0.0.1:7000";
 
@@ -13,7 +13,10 @@
 function setUp() {
   const clock = new FakeClock();
   const sent: ProtoTypes["GateMessage"][] = [];
-  const client = new SlotClient({ tell: (_address, message) => sent.push(message), clock });
+  const client = new SlotClient({
+    sendGateMessage: (_address, message) => sent.push(message),
+    clock,
+  });
   let queued = 0;
   const requestSlot = () => client.requestSlot(GATE, makeSlotRequest(), () => (queued += 1));
   const kinds = () => sent.map((m) => (m.ask ? "ask" : m.withdrawn ? "withdrawn" : "other"));
@@ -29,8 +32,8 @@
   test(`slot client: ${name} settles the request, which is not sent again`, async (t) => {
     const { clock, client, sent, requestSlot } = setUp();
     const pending = requestSlot();
-    client.receive(gateWire.reply(sent[0]?.ask_id ?? 0, reply), GATE);
-    const received = await pending.answer;
+    client.receive(gateCodec.reply(sent[0]?.ask_id ?? 0, reply), GATE);
+    const received = await pending.result;
     t.is(received.kind, reply.kind);
     t.deepEqual({ ...received, load: {} }, { ...reply, load: {} });
     await clock.advance(1000);
@@ -51,7 +54,7 @@
 test("slot client: a request that is known to be queued is not sent again", async (t) => {
   const { clock, client, sent, requestSlot, kinds, queued } = setUp();
   requestSlot();
-  client.receive(gateWire.queued(sent[0]?.ask_id ?? 0, idleLoad), GATE);
+  client.receive(gateCodec.queued(sent[0]?.ask_id ?? 0, idleLoad), GATE);
   await clock.advance(1000);
   t.is(queued(), 1);
   t.deepEqual(kinds(), ["ask"]);
@@ -60,8 +63,8 @@
 test("slot client: a cancelled request is withdrawn once", (t) => {
   const { requestSlot, kinds } = setUp();
   const pending = requestSlot();
-  pending.giveUp();
-  pending.giveUp();
+  pending.cancel();
+  pending.cancel();
   t.deepEqual(kinds(), ["ask", "withdrawn"]);
 });
 
@@ -69,8 +72,8 @@
   // Guards against a lost withdrawal: the gate would hold a slot for a request that has already been granted one
   // at another target.
   const { client, sent, requestSlot, kinds } = setUp();
-  requestSlot().giveUp();
-  client.receive(gateWire.reply(sent[0]?.ask_id ?? 0, granted), GATE);
+  requestSlot().cancel();
+  client.receive(gateCodec.reply(sent[0]?.ask_id ?? 0, granted), GATE);
   t.deepEqual(kinds(), ["ask", "withdrawn", "withdrawn"]);
 });
 
@@ -81,11 +84,11 @@
   const { clock, client, sent, requestSlot, kinds } = setUp();
   const pending = requestSlot();
   const id = sent[0]?.ask_id ?? 0;
-  client.receive(gateWire.reply(id, granted), GATE);
-  t.is((await pending.answer).kind, "granted");
+  client.receive(gateCodec.reply(id, granted), GATE);
+  t.is((await pending.result).kind, "granted");
   for (const ms of [60, 80]) {
     await clock.advance(ms);
-    client.receive(gateWire.reply(id, granted), GATE);
+    client.receive(gateCodec.reply(id, granted), GATE);
   }
   t.deepEqual(kinds(), ["ask"]);
 });
@@ -93,9 +96,9 @@
 test("slot client: a message with an unknown request id or without readable content is ignored", (t) => {
   const { client, requestSlot, kinds, queued } = setUp();
   requestSlot();
-  client.receive(gateWire.queued(99, idleLoad), GATE);
-  client.receive(gateWire.reply(99, refused()), GATE);
-  client.receive({ ...gateWire.reply(1, refused()), reply: null }, GATE);
+  client.receive(gateCodec.queued(99, idleLoad), GATE);
+  client.receive(gateCodec.reply(99, refused()), GATE);
+  client.receive({ ...gateCodec.reply(1, refused()), reply: null }, GATE);
   t.is(queued(), 0);
   t.deepEqual(kinds(), ["ask"]);
 });
--- a/src/sidecar/hop/SlotClient.ts
+++ b/src/sidecar/hop/SlotClient.ts
@@ -4,7 +4,7 @@
 import type { SlotRequest } from "./SlotRequest.ts";
 import type { SlotReply } from "./SlotReply.ts";
 import type { GateLoad } from "./GateLoad.ts";
-import { gateWire } from "./gateWire.ts";
+import { gateCodec } from "./gateCodec.ts";
 import type { PendingCall } from "./PendingCall.ts";
 
 type GateMessage = ProtoTypes["GateMessage"];
@@ -23,7 +23,7 @@
 
 interface SlotClientDeps {
   /** Sends a datagram, which may be lost. */
-  readonly tell: (address: string, message: GateMessage) => void;
+  readonly sendGateMessage: (address: string, message: GateMessage) => void;
   readonly clock: Clock;
 }
 
@@ -58,16 +58,16 @@
   ): PendingCall<SlotReply> {
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
-    const message = gateWire.ask(id, request);
+    const message = gateCodec.slotRequest(id, request);
     const answer = new Promise<SlotReply>((settle) => {
       this.#pending.set(id, { onQueued, settle, timer: undefined });
     });
     this.#send(id, address, message, 1);
     return {
-      answer,
-      giveUp: () => {
+      result: answer,
+      cancel: () => {
         if (this.#remove(id)) {
-          this.#deps.tell(address, gateWire.withdrawn(id));
+          this.#deps.sendGateMessage(address, gateCodec.withdrawn(id));
         }
       },
     };
@@ -77,13 +77,13 @@
   receive(message: GateMessage, from: string): void {
     const { ask_id: id } = message;
     const pending = this.#pending.get(id);
-    const reply = gateWire.readReply(message);
-    const queuedLoad = gateWire.readQueued(message);
+    const reply = gateCodec.readReply(message);
+    const queuedLoad = gateCodec.readQueued(message);
     if (reply && this.#remove(id)) {
       this.#rememberGrant(id, reply);
       pending?.settle(reply);
     } else if (reply?.kind === "granted" && !this.#recentGrants.has(id)) {
-      this.#deps.tell(from, gateWire.withdrawn(id));
+      this.#deps.sendGateMessage(from, gateCodec.withdrawn(id));
     } else if (queuedLoad && pending) {
       pending.timer?.cancel();
       pending.onQueued(queuedLoad);
@@ -108,7 +108,7 @@
     if (!pending) {
       return;
     }
-    this.#deps.tell(address, message);
+    this.#deps.sendGateMessage(address, message);
     if (sent < MAX_SENDS) {
       pending.timer = this.#deps.clock.after(RESEND_MS, () => {
         this.#send(id, address, message, sent + 1);
--- a/src/sidecar/hop/SlotRequest.ts
+++ b/src/sidecar/hop/SlotRequest.ts
@@ -11,11 +11,11 @@
   /** The requested target; the sidecar may have a different local target by now. */
   readonly target: TargetId;
   /** The request can be retried if it fails, so it may go to a suspect target as a probe. */
-  readonly isExpendable: boolean;
+  readonly isRetryable: boolean;
   /** It is a nested call: the run that makes it holds a slot at another target, and fails if the call does. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
   /** Requests are queued at the sender for lack of capacity, so a suspect target should be probed soon. */
-  readonly isPressed: boolean;
+  readonly isCongested: boolean;
   /** Priority of the route; 0 is the highest. */
   readonly priority: number;
   /** Time remaining for the response, ms. */
--- a/src/sidecar/hop/gateWire.ts
+++ b/src/sidecar/hop/gateCodec.ts
@@ -28,16 +28,16 @@
  * Encodes and decodes gate messages: the datagrams between gates, which control admission to their targets, and the
  * sidecars that request slots, and those by which sidecars borrow retry tokens.
  */
-export const gateWire = {
-  ask: (id: number, request: SlotRequest): GateMessage => ({
+export const gateCodec = {
+  slotRequest: (id: number, request: SlotRequest): GateMessage => ({
     ...EMPTY_MESSAGE,
     ask_id: id,
     ask: {
       attempt: request.attempt,
       target: request.target,
-      expendable: request.isExpendable,
-      call: request.isCall,
-      pressed: request.isPressed,
+      expendable: request.isRetryable,
+      call: request.isNestedCall,
+      pressed: request.isCongested,
       priority: request.priority,
       remaining: Math.max(1, Math.round(request.remainingMs)),
       objective: Math.round(request.objectiveMs),
@@ -66,7 +66,7 @@
     },
   }),
 
-  news: (target: TargetId, load: GateLoad): GateMessage => ({
+  loadUpdate: (target: TargetId, load: GateLoad): GateMessage => ({
     ...EMPTY_MESSAGE,
     news: { target, load: encodeLoad(load) },
   }),
@@ -90,14 +90,14 @@
     request?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
 
   /** Undefined if the message is not a valid slot request. */
-  readAsk: ({ ask }: GateMessage): SlotRequest | undefined =>
+  readSlotRequest: ({ ask }: GateMessage): SlotRequest | undefined =>
     ask && ask.attempt !== "" && ask.target !== "" && ask.remaining > 0
       ? {
           attempt: AttemptId(ask.attempt),
           target: TargetId(ask.target),
-          isExpendable: ask.expendable,
-          isCall: ask.call,
-          isPressed: ask.pressed,
+          isRetryable: ask.expendable,
+          isNestedCall: ask.call,
+          isCongested: ask.pressed,
           priority: ask.priority,
           remainingMs: ask.remaining,
           objectiveMs: ask.objective,
@@ -125,7 +125,7 @@
   },
 
   /** Undefined if the message is not a load update. */
-  readNews: ({ news }: GateMessage): { target: TargetId; load: GateLoad } | undefined =>
+  readLoadUpdate: ({ news }: GateMessage): { target: TargetId; load: GateLoad } | undefined =>
     news?.load ? { target: TargetId(news.target), load: decodeLoad(news.load) } : undefined,
 };
 
--- a/src/sidecar/hop/hopResponse.ts
+++ b/src/sidecar/hop/hopResponse.ts
@@ -4,7 +4,7 @@
 import type { Verdict } from "../../common/Verdict.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
-import type { CallMeans } from "../gate/CallsPerRun.ts";
+import type { MeanNestedCalls } from "../gate/CallsPerRun.ts";
 import { HOP } from "./HOP.ts";
 
 type Headers = Readonly<Record<string, string | string[] | undefined>>;
@@ -86,14 +86,14 @@
   },
 };
 
-function encodeCalls(calls: CallMeans): string {
+function encodeCalls(calls: MeanNestedCalls): string {
   return [...calls]
     .map(([service, mean]) => `${encodeURIComponent(service)}=${mean.toFixed(2)}`)
     .join(",");
 }
 
 /** Entries that cannot be parsed are skipped. */
-function decodeCalls(raw: string | string[] | undefined): CallMeans {
+function decodeCalls(raw: string | string[] | undefined): MeanNestedCalls {
   const parts = String(raw ?? "")
     .split(",")
     .map((part) => part.split("="));
--- a/src/sidecar/ingress/CallerServer.test.ts
+++ b/src/sidecar/ingress/CallerServer.test.ts
@@ -137,7 +137,8 @@
   const { socket, dispatched } = await openConnection(t);
   await pipeline(socket, dispatched, ["/a", "/b", "/c"]);
   socket.destroy();
-  const aborted = () => ["/a", "/b", "/c"].map((path) => dispatched.get(path)?.req.left.aborted);
+  const aborted = () =>
+    ["/a", "/b", "/c"].map((path) => dispatched.get(path)?.req.disconnected.aborted);
   await eventually(() => aborted().every((isAborted) => isAborted));
   t.deepEqual(aborted(), [true, true, true]);
 });
@@ -172,9 +173,9 @@
   body.write("half of");
   await eventually(() => received().includes("half of"));
   body.destroy(new Error("cut short"));
-  await eventually(() => dispatched.get("/b")?.req.left.aborted === true);
+  await eventually(() => dispatched.get("/b")?.req.disconnected.aborted === true);
   t.true(received().includes("half of"));
-  t.true(dispatched.get("/b")?.req.left.aborted);
+  t.true(dispatched.get("/b")?.req.disconnected.aborted);
 });
 
 const bodies: readonly {
--- a/src/sidecar/ingress/CallerServer.ts
+++ b/src/sidecar/ingress/CallerServer.ts
@@ -10,7 +10,7 @@
 import type { SidecarMetrics } from "../admin/SidecarMetrics.ts";
 import { AttemptOutcome } from "../detection/AttemptOutcome.ts";
 import type { Dialect } from "../dialect/Dialect.ts";
-import { endToEnd } from "../forwarding/endToEnd.ts";
+import { forwardableHeaders } from "../forwarding/forwardableHeaders.ts";
 import type { ForwardResult } from "../forwarding/ForwardResult.ts";
 import { openBody } from "../forwarding/openBody.ts";
 import { RETRY_AFTER_MS } from "../forwarding/RETRY_AFTER_MS.ts";
@@ -143,7 +143,7 @@
 
   async #handle(req: IncomingMessage, res: ServerResponse): Promise<void> {
     const startedAt = this.#deps.clock.now();
-    const { disconnected: left, isLast } = this.#connections.track(res);
+    const { disconnected, isLast } = this.#connections.track(res);
     if (!this.#deps.config()) {
       await this.#deps.waitForConfig();
     }
@@ -172,10 +172,10 @@
       return;
     }
     const timeoutMs = Math.min(route.timeoutMs, metadata.remainingMs ?? Infinity);
-    const timing = { startedAt, deadlineAt: startedAt + timeoutMs, left };
+    const timing = { startedAt, deadlineAt: startedAt + timeoutMs, disconnected };
     const bufferBytes = this.#reserveBuffer(req);
     try {
-      const bounds = { mostBytes: config.limits.maxBodyBytes, wholeBytes: bufferBytes };
+      const bounds = { maxBytes: config.limits.maxBodyBytes, maxBufferedBytes: bufferBytes };
       await this.#forward(ctx, route, await openBody(req, bounds), timing);
     } finally {
       this.#bufferedBytes -= bufferBytes;
@@ -187,16 +187,16 @@
     ctx: RequestContext,
     route: RouteMatch,
     opened: Awaited<ReturnType<typeof openBody>>,
-    timing: Pick<CallerRequest, "startedAt" | "deadlineAt" | "left">,
+    timing: Pick<CallerRequest, "startedAt" | "deadlineAt" | "disconnected">,
   ): Promise<void> {
     if (opened.kind === "too-large") {
       this.#refuse(ctx, "request body too large", 413);
       return;
     }
     const { req } = ctx.res;
-    const span = this.#deps.tracing.begin("sidecar.ingress", req.headers);
-    const forwardSpan = span.child("sidecar.forward");
-    const headers = endToEnd(req.rawHeaders, (name) => HOP_HEADERS.has(name));
+    const span = this.#deps.tracing.startSpan("sidecar.ingress", req.headers);
+    const forwardSpan = span.startChild("sidecar.forward");
+    const headers = forwardableHeaders(req.rawHeaders, (name) => HOP_HEADERS.has(name));
     const result = await this.#deps.dispatcher.dispatch(route, {
       attempt: ctx.attempt,
       method: req.method ?? "GET",
@@ -325,5 +325,5 @@
 }
 
 function isHopByHop(name: string): boolean {
-  return endToEnd([name, ""]).length === 0;
+  return forwardableHeaders([name, ""]).length === 0;
 }
--- a/src/sidecar/records/AtMostOnceRunner.test.ts
+++ b/src/sidecar/records/AtMostOnceRunner.test.ts
@@ -19,7 +19,7 @@
   path: "/vans",
   headers: [],
   body: Buffer.from("{}"),
-  words: {
+  metadata: {
     attempt: AttemptId("a"),
     target: target.id,
     callerService: "",
@@ -50,7 +50,7 @@
     timedOut: false,
     retryAfterMs: 1000,
   },
-  outcome: AttemptOutcome.NoAnswer,
+  outcome: AttemptOutcome.NoResponse,
 };
 
 /** A replica in this process; it can be down, and replies after `delayMs`. */
--- a/src/sidecar/records/RecordService.ts
+++ b/src/sidecar/records/RecordService.ts
@@ -1,7 +1,7 @@
 import type * as grpc from "@grpc/grpc-js";
 import type { Clock } from "../../common/lifecycle/Clock.ts";
 import type { ProtoTypes } from "../../common/rpc/ProtoTypes.ts";
-import { recordWire } from "./recordWire.ts";
+import { recordCodec } from "./recordCodec.ts";
 import type { RunRecords } from "./RunRecords.ts";
 
 /** gRPC handlers for the records of non-idempotent requests that this sidecar holds. */
@@ -30,11 +30,11 @@
       }
       const claimReply = await this.#records.claim(
         key,
-        recordWire.decode(record, this.#clock.now()),
+        recordCodec.decode(record, this.#clock.now()),
       );
       return claimReply.kind === "granted"
         ? { granted: true, held: null }
-        : { granted: false, held: recordWire.encode(claimReply.record, this.#clock.now()) };
+        : { granted: false, held: recordCodec.encode(claimReply.record, this.#clock.now()) };
     });
   };
 
@@ -44,7 +44,7 @@
       await this.#records.settle(
         key,
         attempt,
-        record ? recordWire.decode(record, this.#clock.now()) : undefined,
+        record ? recordCodec.decode(record, this.#clock.now()) : undefined,
       );
       return {};
     });
@@ -54,7 +54,7 @@
     respond(cb, async () => {
       for (const { key, record } of call.request.records) {
         if (record) {
-          await this.#records.adopt(key, recordWire.decode(record, this.#clock.now()));
+          await this.#records.adopt(key, recordCodec.decode(record, this.#clock.now()));
         }
       }
       return {};
--- a/src/sidecar/records/recordWire.ts
+++ b/src/sidecar/records/recordCodec.ts
@@ -2,7 +2,7 @@
 import type { RunRecord } from "./RunRecord.ts";
 
 /** Converts a {@link RunRecord} to and from its protobuf message; `now` is the monotonic clock, ms. */
-export const recordWire = {
+export const recordCodec = {
   encode(record: RunRecord, now: number): ProtoTypes["Record"] {
     const answer = record.state === "done" ? record.answer : undefined;
     return {
--- a/src/sidecar/routing/AdaptivePolicy.ts
+++ b/src/sidecar/routing/AdaptivePolicy.ts
@@ -9,7 +9,7 @@
 import { LatencyBaseline } from "../detection/LatencyBaseline.ts";
 import type { SlotReply } from "../hop/SlotReply.ts";
 import type { GateLoad } from "../hop/GateLoad.ts";
-import { runRoomMs } from "../gate/runRoomMs.ts";
+import { runAllowanceMs } from "../gate/runAllowanceMs.ts";
 import { chooseRotation } from "./chooseRotation.ts";
 import { pickByCost } from "./pickByCost.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
@@ -103,7 +103,7 @@
     const snapshot = this.#snapshot(request);
     const candidates = this.#candidates(snapshot, tried);
     const { random } = this.#deps;
-    const probeCandidates = request.isExpendable ? this.#probeCandidates(snapshot, candidates) : [];
+    const probeCandidates = request.isRetryable ? this.#probeCandidates(snapshot, candidates) : [];
     const probe = probeCandidates[Math.floor(random() * probeCandidates.length)];
     if (probe) {
       return { target: probe.target, isProbe: true };
@@ -117,7 +117,7 @@
     return picked && { target: picked.target };
   }
 
-  suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[] {
+  suspects(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[] {
     const snapshot = this.#snapshot(request);
     const suspects = this.#candidates(snapshot, tried).filter(
       (c) => this.#isSuspected(snapshot, c) && !c.view.link.isSuspect,
@@ -131,44 +131,44 @@
       .map((c) => ({
         target: c.target,
         risk: this.#riskOf(snapshot, c),
-        isKept: this.#isGray(snapshot, c) && rotation.has(c.target.id),
+        isKeptByFloor: this.#isGray(snapshot, c) && rotation.has(c.target.id),
       }))
       .sort((a, b) => a.risk - b.risk);
   }
 
-  noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void {
+  recordReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void {
     const view = this.#views.of(target);
     this.#recordLoad(target, view, reply.load);
     if (ms !== undefined) {
-      view.link.noteAnswer(ms);
+      view.link.recordReply(ms);
     }
   }
 
-  noteQueued(target: TargetInfo, load: GateLoad): void {
+  recordQueued(target: TargetInfo, load: GateLoad): void {
     this.#recordLoad(target, this.#views.of(target), load);
   }
 
-  noteWait({ service }: RouteMatch, waitedMs: number): void {
+  recordWait({ service }: RouteMatch, waitedMs: number): void {
     const previousMs = this.#averageWaits.get(service.name) ?? 0;
     this.#averageWaits.set(service.name, previousMs + WAIT_WEIGHT * (waitedMs - previousMs));
   }
 
-  isPressed({ service }: RouteMatch): boolean {
+  isCongested({ service }: RouteMatch): boolean {
     return (this.#averageWaits.get(service.name) ?? 0) >= CONGESTED_WAIT_MS;
   }
 
-  noteLoad(id: TargetId, load: GateLoad): void {
+  recordLoad(id: TargetId, load: GateLoad): void {
     const view = this.#views.existing(id);
     if (view) {
       this.#views.recordLoad(view, load);
     }
   }
 
-  noteTimeout(target: TargetInfo): void {
-    this.#views.of(target).link.noteSilence();
+  recordTimeout(target: TargetInfo): void {
+    this.#views.of(target).link.recordMissingReply();
   }
 
-  begin(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
+  recordStart(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
     const { clock } = this.#deps;
     const view = this.#views.of(target);
     const startedAt = clock.now();
@@ -228,9 +228,9 @@
   }
 
   /** Whether to avoid the target: it is ejected or, for a request that can't be retried, suspect. */
-  #isSuspected({ now, isExpendable }: PickSnapshot, { view }: Candidate): boolean {
+  #isSuspected({ now, isRetryable }: PickSnapshot, { view }: Candidate): boolean {
     const health = this.#views.freshHealth(view, now);
-    return health !== undefined && (health.ejected || (health.suspect && !isExpendable));
+    return health !== undefined && (health.ejected || (health.suspect && !isRetryable));
   }
 
   #isGray({ now }: Pick<PickSnapshot, "now">, { view }: Candidate): boolean {
@@ -243,7 +243,7 @@
 
   /** Targets that are due for a probe and reachable. */
   #probeCandidates({ now, route }: PickSnapshot, candidates: readonly Candidate[]): Candidate[] {
-    const share = this.isPressed(route) ? CONGESTED_PROBE_SHARE : 1;
+    const share = this.isCongested(route) ? CONGESTED_PROBE_SHARE : 1;
     return candidates.filter(({ view: { load, loadReceivedAt, link } }) => {
       const age = now - loadReceivedAt;
       const dueInMs = (load?.probeInMs ?? Infinity) * share;
@@ -259,8 +259,8 @@
         id: target.id,
         slots: target.slots,
         ready: target.state === TargetState.Ready,
-        gray: this.#isGray({ now }, candidate),
-        badness: this.#riskOf({ now }, candidate),
+        isGray: this.#isGray({ now }, candidate),
+        risk: this.#riskOf({ now }, candidate),
       };
     });
     return chooseRotation(candidates, floor);
@@ -294,8 +294,8 @@
     const load = this.#views.freshLoad(view, snapshot.now);
     const utilization = ((load?.busy ?? 0) + view.inFlight) / Math.max(1, target.slots);
     const workMs = snapshot.typicalMs * (load?.pace ?? 1) * (1 + utilization);
-    const riskMs = snapshot.isExpendable ? 0 : this.#riskOf(snapshot, candidate) * RISK_COST_MS;
-    const total = this.#waitMs(snapshot, candidate) + workMs + view.link.answerMs + riskMs;
+    const riskMs = snapshot.isRetryable ? 0 : this.#riskOf(snapshot, candidate) * RISK_COST_MS;
+    const total = this.#waitMs(snapshot, candidate) + workMs + view.link.replyMs + riskMs;
     return total / this.#rampWeight(snapshot.route, view);
   }
 
@@ -330,16 +330,13 @@
  * Whether the co-located sidecar is being stopped and will exit before the request would end. After the
  * announced exit it may have restarted, so the target may be picked again.
  */
-function stopsTooSoon(
-  { now, typicalMs, isExpendable }: PickSnapshot,
-  { view }: Candidate,
-): boolean {
+function stopsTooSoon({ now, typicalMs, isRetryable }: PickSnapshot, { view }: Candidate): boolean {
   const { load, loadReceivedAt } = view;
   if (load?.endsInMs === undefined) {
     return false;
   }
   const remainingMs = load.endsInMs - (now - loadReceivedAt);
-  return remainingMs > 0 && remainingMs < runRoomMs(typicalMs, isExpendable);
+  return remainingMs > 0 && remainingMs < runAllowanceMs(typicalMs, isRetryable);
 }
 
 /** Expected wait of a slot request at a target with this load where a request takes `serviceMs`, ms. */
--- a/src/sidecar/routing/CallerRequest.ts
+++ b/src/sidecar/routing/CallerRequest.ts
@@ -18,5 +18,5 @@
   /** Deadline of the final response on the monotonic clock, ms. */
   readonly deadlineAt: number;
   /** Aborted when the caller disconnects. */
-  readonly left: AbortSignal;
+  readonly disconnected: AbortSignal;
 }
--- a/src/sidecar/routing/Dispatcher.test.ts
+++ b/src/sidecar/routing/Dispatcher.test.ts
@@ -43,14 +43,14 @@
     }),
     isStarting,
     borrower: { borrow },
-    calls: new TrafficClassifier({ runs, log }),
+    classifier: new TrafficClassifier({ runs, log }),
     clock,
     log,
   });
   return { clock, hop, policy, runs, dispatcher };
 }
 
-const { done, failed, shed, expired, inDoubt } = results;
+const { done, failed, shed, expired, mayHaveRun: inDoubt } = results;
 
 const cases: readonly {
   name: string;
@@ -149,16 +149,24 @@
   });
 }
 
-const refusals: readonly { name: string; onAsk: FakeHop["onAsk"]; known: boolean }[] = [
-  { name: "no known target", onAsk: () => refused(), known: false },
-  { name: "every target full", onAsk: () => refused(), known: true },
-  { name: "every target leaving", onAsk: () => refused(RefusalReason.Leaving), known: true },
+const refusals: readonly {
+  name: string;
+  onSlotRequest: FakeHop["onSlotRequest"];
+  known: boolean;
+}[] = [
+  { name: "no known target", onSlotRequest: () => refused(), known: false },
+  { name: "every target full", onSlotRequest: () => refused(), known: true },
+  {
+    name: "every target leaving",
+    onSlotRequest: () => refused(RefusalReason.Leaving),
+    known: true,
+  },
 ];
 
 for (const c of refusals) {
   test(`dispatch: ${c.name} ends the request as not-run at once, without sending it`, async (t) => {
     const { hop, dispatcher, clock } = rig(100, c.known ? targets : []);
-    hop.onAsk = c.onAsk;
+    hop.onSlotRequest = c.onSlotRequest;
     const out = await dispatcher.dispatch(makeRoute(), makeCallerRequest());
     t.is(hop.runs.length, 0);
     t.is(out.verdict.kind, "not-run");
@@ -171,21 +179,21 @@
   // All targets are busy for about the duration of one request. A request that arrives then should
   // wait in an admission queue rather than be refused.
   const { hop, dispatcher, clock } = rig();
-  hop.onAsk = () => undefined;
+  hop.onSlotRequest = () => undefined;
   hop.onRun = () => done;
   const out = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await clock.advance(5);
-  hop.asks[0]?.call.onAlive();
+  hop.slotRequests[0]?.call.onHeartbeat();
   await clock.advance(200);
-  t.is(hop.asks.length, 3, "a slot is requested from all three");
-  hop.asks[1]?.call.answer(granted);
+  t.is(hop.slotRequests.length, 3, "a slot is requested from all three");
+  hop.slotRequests[1]?.call.answer(granted);
   t.is((await out).verdict.kind, "done");
   t.deepEqual(
     hop.runs.map((r) => r.address),
     ["b"],
   );
   t.true(
-    hop.asks[0]?.call.givenUp && hop.asks[2]?.call.givenUp,
+    hop.slotRequests[0]?.call.cancelled && hop.slotRequests[2]?.call.cancelled,
     "the other slot requests are withdrawn",
   );
 });
@@ -196,14 +204,14 @@
   hop.onRun = (address) => (address === "a" ? undefined : done);
   const out = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await clock.advance(100);
-  hop.runs[0]?.call.onAlive();
+  hop.runs[0]?.call.onHeartbeat();
   await clock.advance(200);
   t.is((await out).verdict.kind, "done");
   t.deepEqual(
     hop.runs.map((r) => r.address),
     ["a", "b"],
   );
-  t.true(hop.runs[0]?.call.givenUp, "the stuck run is cancelled");
+  t.true(hop.runs[0]?.call.cancelled, "the stuck run is cancelled");
 });
 
 test("dispatch: a booking is never hedged", async (t) => {
@@ -211,7 +219,7 @@
   const out = dispatcher.dispatch(makeRoute({ idempotent: false }), makeCallerRequest());
   for (let i = 0; i < 5; i++) {
     await clock.advance(250);
-    hop.runs[0]?.call.onAlive();
+    hop.runs[0]?.call.onHeartbeat();
   }
   t.is((await out).verdict.kind, "may-have-run");
   t.is(hop.runs.length, 1);
@@ -240,14 +248,14 @@
 
 test("dispatch: a request is not sent if its caller disconnects while it is queued", async (t) => {
   const { hop, dispatcher, clock } = rig();
-  hop.onAsk = () => undefined;
+  hop.onSlotRequest = () => undefined;
   const leave = new AbortController();
-  const out = dispatcher.dispatch(makeRoute(), makeCallerRequest({ left: leave.signal }));
+  const out = dispatcher.dispatch(makeRoute(), makeCallerRequest({ disconnected: leave.signal }));
   await clock.advance(20);
   leave.abort();
   t.is((await out).verdict.kind, "not-run");
   t.is(hop.runs.length, 0);
-  t.true(hop.asks.every((a) => a.call.givenUp));
+  t.true(hop.slotRequests.every((a) => a.call.cancelled));
 });
 
 test("dispatch: close refuses queued requests as not-run, and running ones continue", async (t) => {
@@ -257,7 +265,7 @@
   const { hop, dispatcher } = rig();
   const running = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
-  hop.onAsk = () => undefined;
+  hop.onSlotRequest = () => undefined;
   const queued = dispatcher.dispatch(makeRoute(), makeCallerRequest());
   await settled();
   dispatcher.close();
@@ -363,7 +371,7 @@
     // done no work yet and is refused as not run at once.
     const { clock, hop, runs, dispatcher } = rig();
     runs.begin();
-    hop.onAsk = () => (clock.now() < 100 ? refused(RefusalReason.Full) : granted);
+    hop.onSlotRequest = () => (clock.now() < 100 ? refused(RefusalReason.Full) : granted);
     hop.onRun = () => done;
     const request = makeCallerRequest({ origin, deadlineAt });
     const result = dispatcher.dispatch(makeRoute({ idempotent: true }), request);
--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -31,11 +31,11 @@
   /** Whether this sidecar has started recently, and may not know all targets yet; false if left out. */
   readonly isStarting?: () => boolean;
   /** Distinguishes nested calls from callers' own requests; without it, all requests count as callers' own. */
-  readonly calls?: Pick<TrafficClassifier, "begin">;
+  readonly classifier?: Pick<TrafficClassifier, "begin">;
   /** Called for each retry or hedge that is sent. */
-  readonly onExtraTry?: (service: string, cause: ExtraRunCause) => void;
+  readonly onExtraRun?: (service: string, cause: ExtraRunCause) => void;
   /** Called for each retry or hedge that is not sent because the service's retry budget is used up. */
-  readonly onDenied?: (service: string) => void;
+  readonly onRetryDenied?: (service: string) => void;
   readonly clock: Clock;
   readonly log: bunyan;
 }
@@ -81,7 +81,7 @@
   readonly route: RouteMatch;
   readonly req: CallerRequest;
   /** It is made by a target during a run. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
   /** Targets that are not to be tried again. */
   readonly tried: Set<TargetId>;
   /** Number of targets that it was sent to and that may have run it. */
@@ -113,10 +113,10 @@
 
   /** Forwards `req` along `route`; always resolves with a verdict. */
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
-    const { calls, budgets } = this.#deps;
+    const { classifier: calls, budgets } = this.#deps;
     const classified = calls?.begin(route, req.origin);
-    const isCall = classified?.isCall ?? false;
-    if (classified?.isOwn ?? true) {
+    const isNestedCall = classified?.isNestedCall ?? false;
+    if (classified?.isFromCaller ?? true) {
       budgets.onFirstTry(route);
     }
     const tried = new Set<TargetId>();
@@ -124,7 +124,7 @@
     const result = await this.#dispatchWithRetries({
       route,
       req,
-      isCall,
+      isNestedCall,
       tried,
       ...counts,
     });
@@ -158,7 +158,7 @@
         return last;
       }
       const { attempt } = req;
-      this.#deps.onExtraTry?.(route.service.name, "retry");
+      this.#deps.onExtraRun?.(route.service.name, "retry");
       this.#deps.log.info({ attempt, verdict: latest.verdict, sends: state.sends }, "retrying");
     }
   }
@@ -179,18 +179,18 @@
    * Whether to retry a search that found no target: one may announce itself soon, and the caller is still
    * connected.
    */
-  #mayAwaitTarget({ startedAt, deadlineAt, left }: CallerRequest): boolean {
+  #mayAwaitTarget({ startedAt, deadlineAt, disconnected: left }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
     const holdUntil = Math.min(startedAt + STARTUP_HOLD_MS, deadlineAt);
     return isStarting?.() === true && clock.now() < holdUntil && !left.aborted && !this.#closed;
   }
 
   /** Whether to retry the search for a nested call that was refused: it can still be served before its deadline. */
-  #mayAwaitRoom({ route, req, isCall, refusals }: DispatchState): boolean {
+  #mayAwaitRoom({ route, req, isNestedCall, refusals }: DispatchState): boolean {
     const { clock, policy } = this.#deps;
     const retryAt = clock.now() + NESTED_CALL_BACKOFF_MS * 2 ** refusals;
     const isInTime = retryAt + policy.typicalMs(route) < req.deadlineAt;
-    return isCall && isInTime && !req.left.aborted && !this.#closed;
+    return isNestedCall && isInTime && !req.disconnected.aborted && !this.#closed;
   }
 
   #delay(ms: number): Promise<void> {
@@ -200,8 +200,8 @@
   #findSlot(state: DispatchState): SlotFinder {
     const { policy, hop, clock, log } = this.#deps;
     const requestSlot: HopLink["requestSlot"] = (...args) => hop.requestSlot(...args);
-    const { route, req, tried, isCall } = state;
-    const request = { route, isCall, isExpendable: this.#hasSpareAttempt(state) };
+    const { route, req, tried, isNestedCall } = state;
+    const request = { route, isNestedCall, isRetryable: this.#hasSpareAttempt(state) };
     const finder = new SlotFinder({ policy, requestSlot, clock, log }, request, req, tried);
     this.#finders.add(finder);
     void finder.result.then(() => this.#finders.delete(finder));
@@ -224,7 +224,7 @@
       return first.result;
     }
     if (isSuccess(winner)) {
-      first.giveUp();
+      first.cancel();
       hedge.giveUp();
       return winner;
     }
@@ -235,7 +235,7 @@
 
   /** Schedules a second run for when the first is stuck; its result stays pending while it hasn't started. */
   #scheduleHedge(state: DispatchState) {
-    const { clock, policy, log, onExtraTry } = this.#deps;
+    const { clock, policy, log, onExtraRun: onExtraTry } = this.#deps;
     let run: RemoteRun | undefined;
     let finder: SlotFinder | undefined;
     let settle: (result: ForwardResult | undefined) => void = () => undefined;
@@ -249,7 +249,7 @@
           finder?.cancel();
         }
       },
-      giveUp: () => run?.giveUp(),
+      giveUp: () => run?.cancel(),
     };
     const timer = clock.after(policy.typicalMs(state.route) * HEDGE_FACTOR, () => {
       if (!this.#deps.budgets.tryRetry(state.route)) {
@@ -275,16 +275,16 @@
     const { route, req } = state;
     state.tried.add(grant.target.id);
     state.sends += 1;
-    const end = policy.begin(route, grant.target);
-    const onSilence = () => {
-      policy.noteTimeout(grant.target);
+    const end = policy.recordStart(route, grant.target);
+    const onContactLost = () => {
+      policy.recordTimeout(grant.target);
     };
-    const deps = { hop, callerService, clock, log, onSilence };
+    const deps = { hop, callerService, clock, log, onContactLost };
     const run = new RemoteRun(deps, route, req, grant);
     void run.result.then((result) => {
       end(result.outcome);
       if (result.calls) {
-        this.#deps.budgets.noteCalls(route, result.calls);
+        this.#deps.budgets.recordNestedCalls(route, result.calls);
       }
       if (result.verdict.kind === "not-run") {
         state.sends -= 1;
@@ -295,7 +295,7 @@
 
   async #mayRetry(state: DispatchState, last: ForwardResult): Promise<boolean> {
     const { req } = state;
-    if (req.left.aborted || this.#deps.clock.now() >= req.deadlineAt) {
+    if (req.disconnected.aborted || this.#deps.clock.now() >= req.deadlineAt) {
       return false;
     }
     switch (last.verdict.kind) {
@@ -320,7 +320,7 @@
    */
   #hasSpareAttempt({ route, req, sends }: DispatchState): boolean {
     const isRepeatable = route.idempotent && !isStream(req.body);
-    return isRepeatable && sends + 1 < route.attempts && this.#deps.budgets.hasRoom(route);
+    return isRepeatable && sends + 1 < route.attempts && this.#deps.budgets.canRetry(route);
   }
 
   #mayRepeat({ route, req, sends }: DispatchState): boolean {
@@ -356,7 +356,7 @@
     const costs = budgets.costs(route);
     if (await borrower?.borrow(costs)) {
       log.info({ attempt: req.attempt, costs }, "retry tokens borrowed");
-      return !req.left.aborted;
+      return !req.disconnected.aborted;
     }
     this.#reportDenied(state, "retry");
     return false;
@@ -365,9 +365,9 @@
   #reportDenied({ route, req }: DispatchState, cause: ExtraRunCause): void {
     const { budgets } = this.#deps;
     const service = route.service.name;
-    this.#deps.onDenied?.(service);
+    this.#deps.onRetryDenied?.(service);
     const { attempt } = req;
-    this.#deps.log.info({ attempt, service, cause, budgets: budgets.figures }, "no retry left");
+    this.#deps.log.info({ attempt, service, cause, budgets: budgets.usage }, "no retry left");
   }
 }
 
--- a/src/sidecar/routing/LinkHealth.test.ts
+++ b/src/sidecar/routing/LinkHealth.test.ts
@@ -7,7 +7,7 @@
   const link = new LinkHealth(clock);
   const periods: number[] = [];
   for (let i = 0; i < 6; i++) {
-    link.noteSilence();
+    link.recordMissingReply();
     const since = clock.now();
     while (link.isSuspect) {
       await clock.advance(100);
@@ -20,9 +20,9 @@
 test("link: concurrent requests without a reply extend the suspect period only once", async (t) => {
   const clock = new FakeClock();
   const link = new LinkHealth(clock);
-  link.noteSilence();
-  link.noteSilence();
-  link.noteSilence();
+  link.recordMissingReply();
+  link.recordMissingReply();
+  link.recordMissingReply();
   await clock.advance(400);
   t.false(link.isSuspect);
 });
@@ -30,13 +30,13 @@
 test("link: a reply clears the suspicion and resets the suspect period to its initial length", async (t) => {
   const clock = new FakeClock();
   const link = new LinkHealth(clock);
-  link.noteSilence();
+  link.recordMissingReply();
   await clock.advance(400);
-  link.noteSilence();
-  link.noteAnswer(3);
+  link.recordMissingReply();
+  link.recordReply(3);
   t.false(link.isSuspect);
-  link.noteSilence();
+  link.recordMissingReply();
   await clock.advance(400);
   t.false(link.isSuspect);
-  t.true(link.answerMs > 0 && link.answerMs < 3);
+  t.true(link.replyMs > 0 && link.replyMs < 3);
 });
--- a/src/sidecar/routing/LinkHealth.ts
+++ b/src/sidecar/routing/LinkHealth.ts
@@ -32,19 +32,19 @@
   }
 
   /** Moving average of the reply time for slot requests that are not queued, ms. */
-  get answerMs(): number {
+  get replyMs(): number {
     return this.#replyMs;
   }
 
   /** Records a reply that took `ms`, and clears the suspicion. */
-  noteAnswer(ms: number): void {
+  recordReply(ms: number): void {
     this.#replyMs += REPLY_TIME_WEIGHT * (ms - this.#replyMs);
     this.#suspectUntil = -Infinity;
     this.#suspectMs = INITIAL_SUSPECT_MS;
   }
 
   /** Records a missing reply or a failed connection. */
-  noteSilence(): void {
+  recordMissingReply(): void {
     if (!this.isSuspect) {
       this.#suspectUntil = this.#clock.now() + this.#suspectMs;
       this.#suspectMs = Math.min(this.#suspectMs * 2, MAX_SUSPECT_MS);
--- a/src/sidecar/routing/NaivePolicy.ts
+++ b/src/sidecar/routing/NaivePolicy.ts
@@ -52,39 +52,39 @@
     return target && { target };
   }
 
-  suspected(): SuspectTarget[] {
+  suspects(): SuspectTarget[] {
     return [];
   }
 
-  noteReply(): void {
+  recordReply(): void {
     // Uses no load reports.
   }
 
-  noteQueued(): void {
+  recordQueued(): void {
     // Uses no load reports.
   }
 
-  noteWait(): void {
+  recordWait(): void {
     // Measures no waits.
   }
 
-  isPressed(): boolean {
+  isCongested(): boolean {
     return false;
   }
 
-  noteLoad(): void {
+  recordLoad(): void {
     // Uses no load reports.
   }
 
-  noteTimeout(target: TargetInfo): void {
-    this.#recordOutcome(target, AttemptOutcome.NoAnswer);
+  recordTimeout(target: TargetInfo): void {
+    this.#recordOutcome(target, AttemptOutcome.NoResponse);
   }
 
   typicalMs(route: RouteMatch): number {
     return route.timeoutMs;
   }
 
-  begin(_route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
+  recordStart(_route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void {
     return (outcome) => {
       this.#recordOutcome(target, outcome);
     };
@@ -112,7 +112,7 @@
   }
 
   #recordOutcome(target: TargetInfo, outcome: AttemptOutcome): void {
-    const isError = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.NoAnswer;
+    const isError = outcome === AttemptOutcome.Failed || outcome === AttemptOutcome.NoResponse;
     const errors = isError ? (this.#errors.get(target.id) ?? 0) + 1 : 0;
     this.#errors.set(target.id, errors);
     if (errors >= CONSECUTIVE_ERRORS) {
--- a/src/sidecar/routing/RemoteRun.test.ts
+++ b/src/sidecar/routing/RemoteRun.test.ts
@@ -19,7 +19,7 @@
   let contactLosses = 0;
   const start = () =>
     new RemoteRun(
-      { hop, callerService: "desk", clock, log, onSilence: () => (contactLosses += 1) },
+      { hop, callerService: "desk", clock, log, onContactLost: () => (contactLosses += 1) },
       makeRoute({ idempotent }),
       makeCallerRequest({ deadlineAt: 5000, ...over }),
       { target: makeTarget("x"), id: GrantId("b.1") },
@@ -41,8 +41,8 @@
   const run = start();
   hop.runs[0]?.call.fail();
   await clock.advance(0);
-  t.is(hop.joins.length, 1);
-  hop.joins[0]?.call.answer(results.done);
+  t.is(hop.reattaches.length, 1);
+  hop.reattaches[0]?.call.answer(results.done);
   t.is((await run.result).verdict.kind, "done");
   t.is(hop.runs.length, 1);
 });
@@ -55,9 +55,9 @@
   for (let i = 0; i < 3; i++) {
     await clock.advance(500);
   }
-  t.is(hop.joins.length, 4);
-  t.true(hop.joins.slice(0, 3).every((j) => j.call.givenUp));
-  hop.joins.at(-1)?.call.answer(results.done);
+  t.is(hop.reattaches.length, 4);
+  t.true(hop.reattaches.slice(0, 3).every((j) => j.call.cancelled));
+  hop.reattaches.at(-1)?.call.answer(results.done);
   t.is((await run.result).verdict.kind, "done");
 });
 
@@ -68,13 +68,13 @@
   const run = start();
   for (let i = 0; i < 5; i++) {
     await clock.advance(300);
-    hop.runs[0]?.call.onAlive();
+    hop.runs[0]?.call.onHeartbeat();
   }
-  t.is(hop.joins.length, 0, "no reattach while heartbeats arrive");
+  t.is(hop.reattaches.length, 0, "no reattach while heartbeats arrive");
   await clock.advance(750);
-  t.is(hop.joins.length, 1);
+  t.is(hop.reattaches.length, 1);
   t.is(contactLosses(), 1);
-  hop.joins[0]?.call.answer(results.done);
+  hop.reattaches[0]?.call.answer(results.done);
   t.is((await run.result).verdict.kind, "done");
 });
 
@@ -84,7 +84,7 @@
   hop.runs[0]?.call.fail();
   await clock.advance(0);
   t.is((await run.result).verdict.kind, "may-have-run");
-  t.is(hop.joins.length, 0);
+  t.is(hop.reattaches.length, 0);
 });
 
 for (const idempotent of [true, false]) {
@@ -97,8 +97,8 @@
     await clock.advance(0);
     const { verdict, outcome } = await run.result;
     t.is(verdict.kind, "not-run");
-    t.is(outcome, AttemptOutcome.NoAnswer);
-    t.is(hop.joins.length, 0);
+    t.is(outcome, AttemptOutcome.NoResponse);
+    t.is(hop.reattaches.length, 0);
     t.is(contactLosses(), 1, "the path is reported as failing");
   });
 }
@@ -111,16 +111,16 @@
   const { verdict } = await run.result;
   t.is(verdict.kind, "may-have-run");
   t.true(verdict.kind === "may-have-run" && verdict.timedOut);
-  t.true(hop.joins.every((j) => j.call.givenUp));
+  t.true(hop.reattaches.every((j) => j.call.cancelled));
 });
 
 test("run: is cancelled when the caller disconnects", async (t) => {
   const caller = new AbortController();
-  const { hop, start } = rig(true, { left: caller.signal });
+  const { hop, start } = rig(true, { disconnected: caller.signal });
   const run = start();
   caller.abort();
   t.is((await run.result).outcome, AttemptOutcome.Cancelled);
-  t.true(hop.runs[0]?.call.givenUp);
+  t.true(hop.runs[0]?.call.cancelled);
 });
 
 test("run: the remaining time that is sent leaves a margin for the return path", (t) => {
--- a/src/sidecar/routing/RemoteRun.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -27,12 +27,12 @@
 const DEADLINE_MARGIN_MS = 20;
 
 interface RemoteRunDeps {
-  readonly hop: Pick<HopLink, "run" | "join">;
+  readonly hop: Pick<HopLink, "run" | "reattach">;
   readonly callerService: string;
   readonly clock: Clock;
   readonly log: bunyan;
   /** Called when contact with the target's local sidecar is lost or cannot be established. */
-  readonly onSilence: () => void;
+  readonly onContactLost: () => void;
 }
 
 /**
@@ -66,13 +66,13 @@
     this.#deadlineTimer = deps.clock.after(req.deadlineAt - deps.clock.now(), () => {
       this.#finish(this.#inDoubt("no answer in time", true, AttemptOutcome.TimedOut));
     });
-    req.left.addEventListener("abort", this.#onCallerAbort);
+    req.disconnected.addEventListener("abort", this.#onCallerAbort);
     this.#track(deps.hop.run(grant.target.hopAddress, this.#hopRequest(), this.#onHeartbeat), true);
     this.#restartHeartbeatTimer();
   }
 
   /** Stops waiting for the result; an idempotent run is cancelled at the target. */
-  giveUp(): void {
+  cancel(): void {
     this.#finish(this.#inDoubt("given up", false, AttemptOutcome.Cancelled));
   }
 
@@ -105,7 +105,7 @@
   /** @param isOriginal false for reattach attempts, whose failures are covered by the timer of `#reattach` */
   #track(pending: PendingCall<ForwardResult>, isOriginal: boolean): void {
     this.#pending.add(pending);
-    pending.answer.then(
+    pending.result.then(
       (result) => {
         // Must not be cancelled with the others: it may still be streaming a large response body.
         this.#pending.delete(pending);
@@ -130,9 +130,9 @@
   #onNotSent({ message: reason }: NotSentError): void {
     const { attempt } = this.#req;
     this.#deps.log.info({ attempt, target: this.#grant.target.id, reason }, "run not sent");
-    this.#deps.onSilence();
+    this.#deps.onContactLost();
     const verdict = { kind: "not-run", reason, retryAfterMs: RETRY_AFTER_MS } as const;
-    this.#finish({ verdict, outcome: AttemptOutcome.NoAnswer });
+    this.#finish({ verdict, outcome: AttemptOutcome.NoResponse });
   }
 
   #restartHeartbeatTimer(): void {
@@ -151,7 +151,7 @@
       { attempt, target: target.id, reason },
       "lost contact with running attempt",
     );
-    this.#deps.onSilence();
+    this.#deps.onContactLost();
     if (this.#route.idempotent) {
       this.#finish(this.#inDoubt(reason, false));
     } else {
@@ -167,15 +167,15 @@
     }
     const { target, id } = this.#grant;
     const grant = { attempt: this.#req.attempt, target: target.id, grant: id };
-    const pending = this.#deps.hop.join(target.hopAddress, grant, this.#onHeartbeat);
+    const pending = this.#deps.hop.reattach(target.hopAddress, grant, this.#onHeartbeat);
     this.#track(pending, false);
     this.#livenessTimer = this.#deps.clock.after(REATTACH_TIMEOUT_MS, () => {
-      pending.giveUp();
+      pending.cancel();
       this.#reattach();
     });
   }
 
-  #inDoubt(reason: string, timedOut: boolean, outcome = AttemptOutcome.NoAnswer): ForwardResult {
+  #inDoubt(reason: string, timedOut: boolean, outcome = AttemptOutcome.NoResponse): ForwardResult {
     const { id } = this.#grant.target;
     const retryAfterMs = RETRY_AFTER_MS;
     return {
@@ -191,9 +191,9 @@
     this.#finished = true;
     this.#livenessTimer?.cancel();
     this.#deadlineTimer.cancel();
-    this.#req.left.removeEventListener("abort", this.#onCallerAbort);
+    this.#req.disconnected.removeEventListener("abort", this.#onCallerAbort);
     for (const pending of this.#pending) {
-      pending.giveUp();
+      pending.cancel();
     }
     this.#settle(result);
   }
--- a/src/sidecar/routing/RetryBudgets.test.ts
+++ b/src/sidecar/routing/RetryBudgets.test.ts
@@ -75,7 +75,7 @@
     // The desk's targets fail and the booking service's targets refuse requests. Guards against exceeding the budget of
     // the booking service: a retried check repeats its nested calls to it, on top of that service's own retries.
     const budgets = rig(100, bookingTries);
-    budgets.noteCalls(checks, new Map(calls));
+    budgets.recordNestedCalls(checks, new Map(calls));
     t.is(spendAll(budgets, checks), checkRetries);
     t.is(spendAll(budgets, bookings), bookingRetries);
   });
@@ -83,7 +83,7 @@
 
 test("budgets: a service's configured ratio also limits nested calls to it", (t) => {
   const budgets = rig(100, 0);
-  budgets.noteCalls(checks, new Map([["ledger", 1]]));
+  budgets.recordNestedCalls(checks, new Map([["ledger", 1]]));
   t.false(budgets.tryRetry(checks), "the ledger has no first tries yet");
   const ledger = route("ledger", 0.1);
   for (let n = 0; n < 100; n++) {
@@ -94,9 +94,9 @@
 
 test("budgets: the mean of nested calls follows the most recent reports", (t) => {
   const budgets = rig(100, 100);
-  budgets.noteCalls(checks, new Map([["bookings", 2]]));
+  budgets.recordNestedCalls(checks, new Map([["bookings", 2]]));
   for (let n = 0; n < 30; n++) {
-    budgets.noteCalls(checks, new Map());
+    budgets.recordNestedCalls(checks, new Map());
   }
   t.is(spendAll(budgets, checks), 17);
 });
--- a/src/sidecar/routing/RetryBudgets.ts
+++ b/src/sidecar/routing/RetryBudgets.ts
@@ -1,5 +1,5 @@
 import type { Clock } from "../../common/lifecycle/Clock.ts";
-import type { CallMeans } from "../gate/CallsPerRun.ts";
+import type { MeanNestedCalls } from "../gate/CallsPerRun.ts";
 import { RetryBudget, type RetryBudgetRule } from "./RetryBudget.ts";
 import type { RetryCost } from "./RetryCost.ts";
 import type { RouteMatch } from "./RouteMatch.ts";
@@ -45,7 +45,7 @@
   }
 
   /** Records the mean nested calls per run that a sidecar local to a target of the service reports. */
-  noteCalls({ service }: RouteMatch, means: CallMeans): void {
+  recordNestedCalls({ service }: RouteMatch, means: MeanNestedCalls): void {
     const known = this.#meanCalls.get(service.name) ?? new Map<string, number>();
     this.#meanCalls.set(service.name, known);
     for (const called of new Set([...known.keys(), ...means.keys()])) {
@@ -55,13 +55,13 @@
   }
 
   /** Whether a request on the route may be retried or hedged now. */
-  hasRoom(route: RouteMatch): boolean {
+  canRetry(route: RouteMatch): boolean {
     return this.costs(route).every(({ service, n }) => this.#budget(service).canSpend(n));
   }
 
   /** Charges the budgets for one retry or hedge of a request on the route; false if they do not allow it. */
   tryRetry(route: RouteMatch): boolean {
-    if (!this.hasRoom(route)) {
+    if (!this.canRetry(route)) {
       return false;
     }
     this.#spend(this.costs(route));
@@ -80,7 +80,7 @@
   }
 
   /** Current usage of each service's budget. Written to the log as it is, so its field names must stay. */
-  get figures(): { service: string; figures: RetryBudget["usage"] }[] {
+  get usage(): { service: string; figures: RetryBudget["usage"] }[] {
     return [...this.#budgets].map(([service, budget]) => ({ service, figures: budget.usage }));
   }
 
--- a/src/sidecar/routing/RetryTokenBorrower.test.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.test.ts
@@ -14,7 +14,7 @@
   const asked: string[] = [];
   const borrower = new RetryTokenBorrower({
     lenders: () => lenders,
-    ask: (address) => {
+    requestToken: (address) => {
       asked.push(address);
       return Promise.resolve(willing.includes(address));
     },
@@ -79,7 +79,7 @@
     );
     const borrower = new RetryTokenBorrower({
       lenders: () => fleet.map((_, n) => String(n)),
-      ask: (address) => Promise.resolve(fleet[Number(address)]?.lend(costs) ?? false),
+      requestToken: (address) => Promise.resolve(fleet[Number(address)]?.lend(costs) ?? false),
       random,
     });
     const extras: number[] = [];
--- a/src/sidecar/routing/RetryTokenBorrower.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.ts
@@ -8,7 +8,7 @@
   /** Addresses of sidecars that may lend retry tokens. */
   readonly lenders: () => readonly string[];
   /** Requests a retry token from one sidecar; false if its budget does not allow it, or it does not reply in time. */
-  readonly ask: (address: string, costs: readonly RetryCost[]) => Promise<boolean>;
+  readonly requestToken: (address: string, costs: readonly RetryCost[]) => Promise<boolean>;
   /** Returns a number in [0, 1); tests pass a seeded generator. */
   readonly random: () => number;
 }
@@ -28,7 +28,7 @@
 
   /** Tries to borrow retry tokens for the given costs, to be used at once; false if no sidecar lends them. */
   async borrow(costs: readonly RetryCost[]): Promise<boolean> {
-    const { lenders, ask, random } = this.#deps;
+    const { lenders, requestToken: ask, random } = this.#deps;
     for (const address of sampleOf(lenders(), MAX_LENDERS, random)) {
       if (await ask(address, costs)) {
         return true;
--- a/src/sidecar/routing/RoutingPolicy.ts
+++ b/src/sidecar/routing/RoutingPolicy.ts
@@ -22,16 +22,16 @@
    * The service's floor keeps it in rotation although it is gray: it takes requests that the healthy targets
    * have no room for.
    */
-  readonly isKept: boolean;
+  readonly isKeptByFloor: boolean;
 }
 
 /** The request that a target is picked for. */
 export interface PickContext {
   readonly route: RouteMatch;
   /** The request can be sent again if this attempt fails. */
-  readonly isExpendable: boolean;
+  readonly isRetryable: boolean;
   /** It is a nested call: the run that makes it fails without a response. */
-  readonly isCall?: boolean;
+  readonly isNestedCall?: boolean;
 }
 
 /** Chooses targets, using the replies, load reports and outcomes that it is notified of. */
@@ -39,24 +39,24 @@
   /** Picks the target for the next slot request, excluding those in `tried` and those that are suspect or ejected. */
   pick(request: PickContext, tried: ReadonlySet<TargetId>): PickedTarget | undefined;
   /** Lists the suspect and ejected targets, lowest risk first: the floor keeps the first ones in rotation. */
-  suspected(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[];
+  suspects(request: PickContext, tried: ReadonlySet<TargetId>): SuspectTarget[];
   /**
    * Records the reply to a slot request and its round-trip time, ms; undefined if the request waited in the
    * admission queue.
    */
-  noteReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void;
+  recordReply(target: TargetInfo, reply: SlotReply, ms: number | undefined): void;
   /** Records that a slot request was put in the admission queue of `target`, whose gate reports `load`. */
-  noteQueued(target: TargetInfo, load: GateLoad): void;
+  recordQueued(target: TargetInfo, load: GateLoad): void;
   /** Records an unsolicited load report from the gate of a target. */
-  noteLoad(target: TargetId, load: GateLoad): void;
+  recordLoad(target: TargetId, load: GateLoad): void;
   /** Records that a request of `route` waited `waitedMs` for its slot. */
-  noteWait(route: RouteMatch, waitedMs: number): void;
+  recordWait(route: RouteMatch, waitedMs: number): void;
   /** Whether requests of the route's service currently wait in admission queues because all slots are in use. */
-  isPressed(route: RouteMatch): boolean;
+  isCongested(route: RouteMatch): boolean;
   /** Records that the sidecar co-located with `target` stopped responding to a slot request or during a run. */
-  noteTimeout(target: TargetInfo): void;
+  recordTimeout(target: TargetInfo): void;
   /** Records a request sent to `target`; the returned function must be called once, with the outcome. */
-  begin(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void;
+  recordStart(route: RouteMatch, target: TargetInfo): (outcome: AttemptOutcome) => void;
   /** Typical time that a request of `route` takes at a target of its service, ms. */
   typicalMs(route: RouteMatch): number;
   /** Returns the routing state of each known target, for `/status`. */
--- a/src/sidecar/routing/SlotFinder.test.ts
+++ b/src/sidecar/routing/SlotFinder.test.ts
@@ -17,17 +17,17 @@
 function rig(names = ["a", "b", "c", "d"], gray: readonly string[] = []) {
   const clock = new FakeClock();
   const hop = new FakeHop();
-  hop.onAsk = () => undefined;
+  hop.onSlotRequest = () => undefined;
   const targets = names.map((id) => makeTarget(id, { hopAddress: id, askAddress: id }));
   const policy = new FixedPolicy(targets, gray);
   const findSlot = (overrides: Parameters<typeof makeCallerRequest>[0] = {}) =>
     new SlotFinder(
       { policy, requestSlot: (...args) => hop.requestSlot(...args), clock, log },
-      { route: makeRoute(), isExpendable: true },
+      { route: makeRoute(), isRetryable: true },
       makeCallerRequest(overrides),
       new Set(),
     );
-  const requestedFrom = () => hop.asks.map((a) => a.address).join("");
+  const requestedFrom = () => hop.slotRequests.map((a) => a.address).join("");
   return { clock, hop, policy, findSlot, requestedFrom };
 }
 
@@ -37,9 +37,9 @@
   clock: FakeClock,
   reply: "queued" | "full",
 ): Promise<void> {
-  const call = hop.asks[0]?.call;
+  const call = hop.slotRequests[0]?.call;
   if (reply === "queued") {
-    call?.onAlive();
+    call?.onHeartbeat();
   } else {
     call?.answer(refused(RefusalReason.Full));
   }
@@ -49,7 +49,7 @@
 test("find slot: a free slot at the first target takes a single slot request", async (t) => {
   const { clock, hop, findSlot, requestedFrom } = rig();
   const finder = findSlot();
-  hop.asks[0]?.call.answer(granted);
+  hop.slotRequests[0]?.call.answer(granted);
   const result = await finder.result;
   await clock.advance(1000);
   t.is(result.kind === "granted" && result.grant.target.hopAddress, "a");
@@ -63,10 +63,10 @@
   const finder = findSlot();
   await clock.advance(40);
   t.is(requestedFrom(), "ab");
-  hop.asks[1]?.call.answer(granted);
+  hop.slotRequests[1]?.call.answer(granted);
   const result = await finder.result;
   t.is(result.kind === "granted" && result.grant.target.hopAddress, "b");
-  t.true(hop.asks[0]?.call.givenUp);
+  t.true(hop.slotRequests[0]?.call.cancelled);
 });
 
 test("find slot: while the request is queued at a target others are tried, at most three at a time", async (t) => {
@@ -74,31 +74,31 @@
   const finder = findSlot();
   for (let i = 0; i < 3; i++) {
     await clock.advance(5);
-    hop.asks.at(-1)?.call.onAlive();
+    hop.slotRequests.at(-1)?.call.onHeartbeat();
     await clock.advance(20);
   }
   t.is(requestedFrom(), "abc");
-  hop.asks[1]?.call.answer(refused());
+  hop.slotRequests[1]?.call.answer(refused());
   await clock.advance(0);
   t.is(requestedFrom(), "abcd", "a refusal allows a further slot request");
-  hop.asks[0]?.call.answer(granted);
+  hop.slotRequests[0]?.call.answer(granted);
   t.is((await finder.result).kind, "granted");
-  t.true([2, 3].every((i) => hop.asks[i]?.call.givenUp));
+  t.true([2, 3].every((i) => hop.slotRequests[i]?.call.cancelled));
 });
 
 test("find slot: a suspect target is used only after all others have refused the request", async (t) => {
   const { clock, hop, findSlot, requestedFrom } = rig(["a", "b"]);
   const finder = findSlot();
-  hop.asks[0]?.call.answer(refused(RefusalReason.Suspect));
+  hop.slotRequests[0]?.call.answer(refused(RefusalReason.Suspect));
   await clock.advance(0);
-  hop.asks[1]?.call.answer(refused(RefusalReason.Full));
+  hop.slotRequests[1]?.call.answer(refused(RefusalReason.Full));
   await clock.advance(0);
   t.is(requestedFrom(), "aba");
   t.deepEqual(
-    hop.asks.map((a) => a.request.acceptsRisk > 0),
+    hop.slotRequests.map((a) => a.request.acceptsRisk > 0),
     [false, false, true],
   );
-  hop.asks[2]?.call.answer(granted);
+  hop.slotRequests[2]?.call.answer(granted);
   t.is((await finder.result).kind, "granted");
 });
 
@@ -127,52 +127,52 @@
 const acceptableGray: readonly {
   description: string;
   risk: number;
-  isKept: boolean;
+  isKeptByFloor: boolean;
   reply: "queued" | "full";
   requestedAfterMs: number;
 }[] = [
   {
     description: "with an acceptable risk",
     risk: 0.3,
-    isKept: false,
+    isKeptByFloor: false,
     reply: "queued",
     requestedAfterMs: GRAY_DELAY_MS,
   },
   {
     description: "with an acceptable risk",
     risk: 0.3,
-    isKept: false,
+    isKeptByFloor: false,
     reply: "full",
     requestedAfterMs: 0,
   },
   {
     description: "kept in rotation by the floor",
     risk: 0.7,
-    isKept: true,
+    isKeptByFloor: true,
     reply: "queued",
     requestedAfterMs: GRAY_DELAY_MS,
   },
   {
     description: "kept in rotation by the floor",
     risk: 0.7,
-    isKept: true,
+    isKeptByFloor: true,
     reply: "full",
     requestedAfterMs: 0,
   },
 ];
 
-for (const { description, risk, isKept, reply, requestedAfterMs } of acceptableGray) {
+for (const { description, risk, isKeptByFloor, reply, requestedAfterMs } of acceptableGray) {
   test(`find slot: a gray target ${description} is tried ${requestedAfterMs} ms after a healthy one replied ${reply}`, async (t) => {
     const { clock, hop, policy, findSlot, requestedFrom } = rig(["a", "gray"], ["gray"]);
     policy.grayRisk = risk;
-    policy.isKept = isKept;
+    policy.isKeptByFloor = isKeptByFloor;
     findSlot();
     await replyOfFirst(hop, clock, reply);
     await clock.advance(Math.max(0, requestedAfterMs - 1));
     t.is(requestedFrom(), requestedAfterMs > 0 ? "a" : "agray");
     await clock.advance(1);
     t.is(requestedFrom(), "agray");
-    t.is(hop.asks[1]?.request.acceptsRisk, isKept ? 0.75 : 0.5);
+    t.is(hop.slotRequests[1]?.request.acceptsRisk, isKeptByFloor ? 0.75 : 0.5);
   });
 }
 
@@ -193,9 +193,9 @@
 test("find slot: after all targets refused, the search ends at once with the shortest retry-after", async (t) => {
   const { clock, hop, findSlot } = rig(["a", "b"]);
   const finder = findSlot();
-  hop.asks[0]?.call.answer({ ...refused(), retryAfterMs: 700 } as never);
+  hop.slotRequests[0]?.call.answer({ ...refused(), retryAfterMs: 700 } as never);
   await clock.advance(0);
-  hop.asks[1]?.call.answer({ ...refused(), retryAfterMs: 300 } as never);
+  hop.slotRequests[1]?.call.answer({ ...refused(), retryAfterMs: 300 } as never);
   const result = await finder.result;
   t.is(result.kind === "refused" && result.retryAfterMs, 300);
   t.is(clock.now(), 0);
@@ -205,19 +205,19 @@
   const { clock, hop, findSlot } = rig();
   const finder = findSlot({ deadlineAt: 500 });
   for (let i = 0; i < 20; i++) {
-    hop.asks.forEach((a) => {
-      a.call.onAlive();
+    hop.slotRequests.forEach((a) => {
+      a.call.onHeartbeat();
     });
     await clock.advance(25);
   }
   t.is((await finder.result).kind, "refused");
-  t.true(hop.asks.every((a) => a.call.givenUp));
+  t.true(hop.slotRequests.every((a) => a.call.cancelled));
 });
 
 test("find slot: slot requests carry the remaining time as a duration, so that clocks need not agree", async (t) => {
   const { clock, hop, findSlot } = rig();
   await clock.advance(300);
   findSlot({ startedAt: 100, deadlineAt: 1100 });
-  t.is(hop.asks[0]?.request.remainingMs, 800);
-  t.is(hop.asks[0]?.request.objectiveMs, 100);
+  t.is(hop.slotRequests[0]?.request.remainingMs, 800);
+  t.is(hop.slotRequests[0]?.request.objectiveMs, 100);
 });
