--- a/src/sidecar/routing/SlotFinder.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -157,7 +157,7 @@
     this.#after(req.deadlineAt - deps.clock.now(), () => {
       this.#refuse("no slot came free in time");
     });
-    req.left.addEventListener("abort", this.#onCallerLeft);
+    req.disconnected.addEventListener("abort", this.#onCallerLeft);
     this.#requestNext();
   }
 
@@ -211,7 +211,7 @@
     if (this.#isQueued && !hasWaited) {
       return undefined;
     }
-    const known = this.#deps.policy.suspected(this.#context, this.#tried);
+    const known = this.#deps.policy.suspects(this.#context, this.#tried);
     const [best] = [...known, ...this.#suspects].sort((a, b) => a.risk - b.risk);
     if (!best) {
       return undefined;
@@ -224,11 +224,11 @@
     return { ...best, acceptsRisk };
   }
 
-  #maxAcceptedRisk({ isKept }: SuspectTarget, noHealthyTarget: boolean): number {
+  #maxAcceptedRisk({ isKeptByFloor }: SuspectTarget, noHealthyTarget: boolean): number {
     if (noHealthyTarget) {
-      return this.#context.isExpendable ? ANY_RISK : MAX_KEPT_RISK;
+      return this.#context.isRetryable ? ANY_RISK : MAX_KEPT_RISK;
     }
-    return isKept ? MAX_KEPT_RISK : MAX_GRAY_RISK;
+    return isKeptByFloor ? MAX_KEPT_RISK : MAX_GRAY_RISK;
   }
 
   /**
@@ -238,10 +238,10 @@
   #requestAsProbe(): void {
     const probe = this.#hasProbed
       ? undefined
-      : this.#deps.policy.pick({ ...this.#context, isExpendable: true }, this.#tried);
+      : this.#deps.policy.pick({ ...this.#context, isRetryable: true }, this.#tried);
     if (probe?.isProbe) {
       this.#hasProbed = true;
-      this.#sendRequest(probe, { isExpendable: true });
+      this.#sendRequest(probe, { isRetryable: true });
     } else {
       this.#refuse(this.#reason);
     }
@@ -280,7 +280,7 @@
       queued: false,
       unresponsive: false,
     });
-    void pending.answer.then((reply) => {
+    void pending.result.then((reply) => {
       this.#onReply(target, reply);
     });
     this.#after(NEXT_AFTER_SILENCE_MS, () => {
@@ -292,14 +292,14 @@
       this.#ifUnanswered(target, (open) => {
         open.unresponsive = true;
         this.#deps.log.info({ attempt: this.#req.attempt, target: target.id }, "ask unanswered");
-        this.#deps.policy.noteTimeout(target);
+        this.#deps.policy.recordTimeout(target);
         this.#requestNext();
       });
     });
     this.#after(ABANDON_MS, () => {
       this.#ifUnanswered(target, (open) => {
         this.#openRequests.delete(target.id);
-        open.pending.giveUp();
+        open.pending.cancel();
         this.#reason = "no sidecar beside a target could be reached";
         this.#requestNext();
       });
@@ -307,7 +307,7 @@
   }
 
   #buildRequest(target: TargetInfo, now: number): SlotRequest {
-    const { route, isExpendable, isCall = false } = this.#context;
+    const { route, isRetryable, isNestedCall = false } = this.#context;
     const { priority, objectiveMs } = route;
     const { attempt, startedAt, deadlineAt, body, bodyLength = 0 } = this.#req;
     return {
@@ -317,16 +317,16 @@
       remainingMs: Math.max(1, deadlineAt - now),
       objectiveMs: startedAt + objectiveMs - now,
       typicalMs: this.#deps.policy.typicalMs(route),
-      isExpendable,
-      isCall,
-      isPressed: this.#deps.policy.isPressed(route),
+      isRetryable,
+      isNestedCall,
+      isCongested: this.#deps.policy.isCongested(route),
       bodyBytes: Buffer.isBuffer(body) ? body.length : bodyLength,
       acceptsRisk: 0,
     };
   }
 
   #onQueued(target: TargetInfo, load: GateLoad): void {
-    this.#deps.policy.noteQueued(target, load);
+    this.#deps.policy.recordQueued(target, load);
     const open = this.#openRequests.get(target.id);
     if (!open || open.queued || this.#done) {
       return;
@@ -346,11 +346,11 @@
       return;
     }
     const ms = open.queued ? undefined : this.#deps.clock.now() - open.sentAt;
-    this.#deps.policy.noteReply(target, reply, ms);
+    this.#deps.policy.recordReply(target, reply, ms);
     this.#openRequests.delete(target.id);
     if (reply.kind === "granted") {
       const waitedMs = Math.round(this.#deps.clock.now() - open.sentAt);
-      this.#deps.policy.noteWait(this.#context.route, waitedMs);
+      this.#deps.policy.recordWait(this.#context.route, waitedMs);
       const { attempt } = this.#req;
       const { load } = reply;
       const { acceptsRisk } = open;
@@ -360,7 +360,7 @@
       return;
     }
     if (reply.reason === RefusalReason.Suspect) {
-      this.#suspects.push({ target, risk: reply.load.risk, isKept: false });
+      this.#suspects.push({ target, risk: reply.load.risk, isKeptByFloor: false });
     }
     this.#fullRefusals += reply.reason === RefusalReason.Full ? 1 : 0;
     this.#isTargetUnknown &&= reply.reason === RefusalReason.NoTarget;
@@ -386,12 +386,12 @@
       return;
     }
     this.#done = true;
-    this.#req.left.removeEventListener("abort", this.#onCallerLeft);
+    this.#req.disconnected.removeEventListener("abort", this.#onCallerLeft);
     this.#timers.forEach((t) => {
       t.cancel();
     });
     for (const { pending } of this.#openRequests.values()) {
-      pending.giveUp();
+      pending.cancel();
     }
     this.#settle(result);
   }
--- a/src/sidecar/routing/TrafficClassifier.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -31,7 +31,7 @@
   const receive = (arrivals: number) => {
     let isOwn = false;
     for (let n = 0; n < arrivals; n++) {
-      isOwn = classifier.begin(route).isOwn;
+      isOwn = classifier.begin(route).isFromCaller;
     }
     return isOwn;
   };
@@ -102,17 +102,17 @@
   origin: RequestOrigin;
   arrivals: number;
   isOwn: boolean;
-  isCall: boolean;
+  isNestedCall: boolean;
 }[] = [
-  { origin: RequestOrigin.TargetVm, arrivals: 1, isOwn: false, isCall: true },
-  { origin: RequestOrigin.TargetVm, arrivals: 60, isOwn: false, isCall: true },
-  { origin: RequestOrigin.Elsewhere, arrivals: 1, isOwn: true, isCall: false },
-  { origin: RequestOrigin.Elsewhere, arrivals: 60, isOwn: true, isCall: false },
-  { origin: RequestOrigin.Unknown, arrivals: 1, isOwn: false, isCall: false },
+  { origin: RequestOrigin.TargetVm, arrivals: 1, isOwn: false, isNestedCall: true },
+  { origin: RequestOrigin.TargetVm, arrivals: 60, isOwn: false, isNestedCall: true },
+  { origin: RequestOrigin.Elsewhere, arrivals: 1, isOwn: true, isNestedCall: false },
+  { origin: RequestOrigin.Elsewhere, arrivals: 60, isOwn: true, isNestedCall: false },
+  { origin: RequestOrigin.Unknown, arrivals: 1, isOwn: false, isNestedCall: false },
 ];
 
-for (const { origin, arrivals, isOwn, isCall } of origins) {
-  test(`traffic: busy target, request ${arrivals} from ${origin}: isOwn ${isOwn}, isCall ${isCall}`, (t) => {
+for (const { origin, arrivals, isOwn, isNestedCall } of origins) {
+  test(`traffic: busy target, request ${arrivals} from ${origin}: isOwn ${isOwn}, isCall ${isNestedCall}`, (t) => {
     // The local target is hardly ever idle. Guards against leaving callers' requests unclassified for the first minute
     // of each process: lookups were not retried then, since no request earned retry budget.
     const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
@@ -122,16 +122,16 @@
       classifier.begin(route, origin);
     }
     const classified = classifier.begin(route, origin);
-    t.is(classified.isOwn, isOwn);
-    t.is(classified.isCall, isCall);
+    t.is(classified.isFromCaller, isOwn);
+    t.is(classified.isNestedCall, isNestedCall);
   });
 }
 
 test("traffic: requests of one route are classified separately by origin", (t) => {
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
-  t.true(classifier.begin(route, RequestOrigin.Elsewhere).isOwn);
-  t.true(classifier.begin(route, RequestOrigin.TargetVm).isCall);
+  t.true(classifier.begin(route, RequestOrigin.Elsewhere).isFromCaller);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isNestedCall);
 });
 
 test("traffic: the target's address is no evidence while all requests come from it", (t) => {
@@ -140,8 +140,8 @@
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
   const classified = classifier.begin(route, RequestOrigin.TargetVm);
-  t.false(classified.isCall);
-  t.false(classified.isOwn);
+  t.false(classified.isNestedCall);
+  t.false(classified.isFromCaller);
 });
 
 test("traffic: callers that share the target's address are recognized by requests outside runs", (t) => {
@@ -151,15 +151,15 @@
   for (let n = 0; n < 3; n++) {
     classifier.begin(route, RequestOrigin.TargetVm);
   }
-  t.true(classifier.begin(route, RequestOrigin.TargetVm).isOwn);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isFromCaller);
 });
 
 test("traffic: each route is classified on its own", (t) => {
   const runs = { count: 0, idleShare: 0.2, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
   classifier.begin(route);
-  t.true(classifier.begin(route).isOwn);
+  t.true(classifier.begin(route).isFromCaller);
   runs.count = 4;
-  t.true(classifier.begin(route).isOwn);
-  t.false(classifier.begin(makeRoute({ name: "other" })).isOwn);
+  t.true(classifier.begin(route).isFromCaller);
+  t.false(classifier.begin(makeRoute({ name: "other" })).isFromCaller);
 });
--- a/src/sidecar/routing/TrafficClassifier.ts
+++ b/src/sidecar/routing/TrafficClassifier.ts
@@ -31,9 +31,9 @@
 /** A request received by this sidecar from a caller or a local target, with its classification. */
 export interface ClassifiedRequest {
   /** Whether it is classified as a caller's request, which adds to the retry budget as a first try. */
-  readonly isOwn: boolean;
+  readonly isFromCaller: boolean;
   /** Whether it is classified as a nested call, whose failure makes its run fail. */
-  readonly isCall: boolean;
+  readonly isNestedCall: boolean;
   /** Records the end of the request, and whether it was served. */
   end(wasServed: boolean): void;
 }
@@ -80,8 +80,8 @@
     this.#logChange(key, weight, nats);
     const isOwn = weight === 0;
     return {
-      isOwn,
-      isCall: weight === 1,
+      isFromCaller: isOwn,
+      isNestedCall: weight === 1,
       end: isOwn ? () => undefined : runs.beginCall({ route, service: service.name, weight }),
     };
   }
--- a/src/sidecar/routing/chooseRotation.test.ts
+++ b/src/sidecar/routing/chooseRotation.test.ts
@@ -6,14 +6,14 @@
 
 const candidate = (
   id: string,
-  badness: number,
+  risk: number,
   over: Partial<RotationCandidate> = {},
 ): RotationCandidate => ({
   id: TargetId(id),
   slots: 4,
   ready: true,
-  gray: badness >= 8,
-  badness,
+  isGray: risk >= 8,
+  risk,
   ...over,
 });
 
@@ -64,8 +64,8 @@
     fc.record({
       slots: fc.integer({ min: 1, max: 8 }),
       ready: fc.boolean(),
-      gray: fc.boolean(),
-      badness: fc.double({ min: 0, max: 100, noNaN: true }),
+      isGray: fc.boolean(),
+      risk: fc.double({ min: 0, max: 100, noNaN: true }),
     }),
     { maxLength: 20 },
   );
@@ -76,7 +76,7 @@
       const slots = (list: typeof candidates) => list.reduce((sum, c) => sum + c.slots, 0);
       const ready = slots(candidates.filter((c) => c.ready));
       const remaining = slots(candidates.filter((c) => rotation.has(c.id)));
-      const ejectedHealthy = candidates.filter((c) => c.ready && !c.gray && !rotation.has(c.id));
+      const ejectedHealthy = candidates.filter((c) => c.ready && !c.isGray && !rotation.has(c.id));
       return remaining >= Math.min(ready, floor * slots(candidates)) && ejectedHealthy.length === 0;
     }),
     { numRuns: 2000, seed: 7 },
--- a/src/sidecar/routing/chooseRotation.ts
+++ b/src/sidecar/routing/chooseRotation.ts
@@ -19,7 +19,7 @@
   const ready = candidates.filter((c) => c.ready);
   const rotation = new Set(ready.map((c) => c.id));
   let slots = ready.reduce((sum, c) => sum + c.slots, 0);
-  const worstFirst = ready.filter((c) => c.gray).sort((a, b) => b.badness - a.badness);
+  const worstFirst = ready.filter((c) => c.isGray).sort((a, b) => b.risk - a.risk);
   for (const c of worstFirst) {
     if (slots - c.slots >= needed && rotation.size > 1) {
       rotation.delete(c.id);
--- a/src/sidecar/routing/policies.test.ts
+++ b/src/sidecar/routing/policies.test.ts
@@ -92,7 +92,7 @@
       this.ids.map((id) => [
         id,
         new Gate({
-          target: () => ({ slots: 4, takesWork: true }),
+          target: () => ({ slots: 4, acceptsRequests: true }),
           detector: kind === "adaptive" ? detector(id) : AlwaysHealthyDetector,
           clock,
           grants: new GrantIds("b"),
@@ -145,9 +145,10 @@
     const tried = new Set<TargetId>();
     const attempt = AttemptId(`a${this.#attempts++}`);
     for (;;) {
-      const request = { route: this.route, isExpendable: true };
+      const request = { route: this.route, isRetryable: true };
       const healthyPick = this.policy.pick(request, tried);
-      const picked = healthyPick ?? this.policy.suspected(request, tried).find((s) => s.isKept);
+      const picked =
+        healthyPick ?? this.policy.suspects(request, tried).find((s) => s.isKeptByFloor);
       const gate = picked && this.gates.get(picked.target.id);
       if (!gate) {
         return;
@@ -159,14 +160,14 @@
       const slotRequest = {
         attempt,
         target: target.id,
-        isExpendable: true,
+        isRetryable: true,
         priority: 1,
         remainingMs: 1000,
         objectiveMs: 300,
         typicalMs: this.policy.typicalMs(this.route),
         acceptsRisk,
-        isPressed: false,
-        isCall: false,
+        isCongested: false,
+        isNestedCall: false,
         bodyBytes: 0,
       };
       const ticket = gate.requestSlot(slotRequest, (reply) => replies.push(reply));
@@ -175,11 +176,11 @@
         ticket.withdraw();
         continue;
       }
-      this.policy.noteReply(target, reply, 1);
+      this.policy.recordReply(target, reply, 1);
       if (reply.kind === "granted") {
         arrivals.get(target.id)?.push(this.clock.now());
-        gate.take(reply.grant);
-        const end = this.policy.begin(this.route, target);
+        gate.redeem(reply.grant);
+        const end = this.policy.recordStart(this.route, target);
         const { ms, outcome } = respond(target.id);
         this.clock.after(ms, () => {
           gate.end(reply.grant, outcome);
@@ -225,7 +226,7 @@
     name: "a target that returns 5 wrong responses in 100",
     respond: (rig) => ({
       ms: 20,
-      outcome: rig.random() < 0.05 ? AttemptOutcome.Wrong : AttemptOutcome.Ok,
+      outcome: rig.random() < 0.05 ? AttemptOutcome.InvalidResponse : AttemptOutcome.Ok,
     }),
   },
   {
@@ -326,7 +327,7 @@
   await rig.run(500, () => healthy);
   rig.announce(gray, "draining");
   for (let i = 0; i < 200; i++) {
-    t.not(rig.policy.pick({ route: rig.route, isExpendable: true }, new Set())?.target.id, gray);
+    t.not(rig.policy.pick({ route: rig.route, isRetryable: true }, new Set())?.target.id, gray);
   }
 });
 
@@ -339,11 +340,11 @@
   const isPicked = () =>
     Array.from(
       { length: 200 },
-      () => rig.policy.pick({ route: rig.route, isExpendable: true }, new Set())?.target.id,
+      () => rig.policy.pick({ route: rig.route, isRetryable: true }, new Set())?.target.id,
     ).includes(gray);
   t.true(isPicked());
   if (target) {
-    rig.policy.noteTimeout(target);
+    rig.policy.recordTimeout(target);
   }
   t.false(isPicked());
   await rig.clock.advance(500);
@@ -380,7 +381,7 @@
   const near = rig.table.target(TargetId("near"));
   if (near) {
     const load = { ...idleLoad, slots: 4, ...localLoad };
-    rig.policy.noteReply(near, { kind: "granted", grant: GrantId("b.1"), load }, 1);
+    rig.policy.recordReply(near, { kind: "granted", grant: GrantId("b.1"), load }, 1);
   }
   return rig;
 }
@@ -418,11 +419,11 @@
     const route = makeRoute({ ...rig.route, bulk });
     const picks = Array.from(
       { length: 100 },
-      () => rig.policy.pick({ route, isExpendable: true }, new Set())?.target.id,
+      () => rig.policy.pick({ route, isRetryable: true }, new Set())?.target.id,
     );
     const near = picks.filter((id) => id === TargetId("near")).length;
     t.true(staysLocal ? near === 100 : near < 50, `${near} of 100`);
-    const elsewhere = rig.policy.pick({ route, isExpendable: true }, new Set([TargetId("near")]));
+    const elsewhere = rig.policy.pick({ route, isRetryable: true }, new Set([TargetId("near")]));
     t.truthy(elsewhere);
   });
 }
@@ -436,7 +437,7 @@
   const localPicks = () => {
     const picks = Array.from(
       { length: 100 },
-      () => rig.policy.pick({ route: rig.route, isExpendable: true }, new Set())?.target.id,
+      () => rig.policy.pick({ route: rig.route, isRetryable: true }, new Set())?.target.id,
     );
     return picks.filter((id) => id?.startsWith("n")).length;
   };
@@ -448,7 +449,7 @@
     const target = rig.table.target(id);
     if (target) {
       const load = { ...idleLoad, slots: 4, busy: 4, queued: 3, serviceMs: 400 };
-      rig.policy.noteQueued(target, load);
+      rig.policy.recordQueued(target, load);
     }
   }
   await rig.clock.advance(2500);
@@ -468,7 +469,7 @@
     const others = new Set(table.allTargets().map((x) => x.id));
     others.delete(TargetId("near"));
     // The typical time is a third of the objective; 5.5 times that must remain.
-    const request = { route: { ...route, objectiveMs: 900 }, isExpendable: false };
+    const request = { route: { ...route, objectiveMs: 900 }, isRetryable: false };
     t.is(policy.pick(request, others)?.target.id === "near", isPicked);
   });
 }
--- a/src/standin/FaultMode.ts
+++ b/src/standin/FaultMode.ts
@@ -14,13 +14,13 @@
   /** Most requests fail immediately with an error: a partial failure. */
   Gray = "gray",
   /** Half of the requests are shed without being run, although slots are free. */
-  Sheds = "sheds",
+  Shedding = "sheds",
   /** Serves requests normally, but the health endpoint reports unhealthy. */
   HealthBad = "health-bad",
   /** Runs requests from one sidecar, selected by the `via` header, but never responds to them: a one-way partition. */
   OneWay = "one-way",
   /** Runs the request, then resets the connection instead of responding. */
-  AnswerLost = "answer-lost",
+  ResponseLost = "answer-lost",
   /** Sends half of the response body, then resets the connection. */
   Truncate = "truncate",
   /** Never responds on connections opened before the fault was set; new connections work. */
--- a/src/standin/StandInTarget.ts
+++ b/src/standin/StandInTarget.ts
@@ -292,7 +292,7 @@
     if (this.#draining) {
       return "draining";
     }
-    const sheds = this.#mode === FaultMode.Sheds && Math.random() < SHED_SHARE;
+    const sheds = this.#mode === FaultMode.Shedding && Math.random() < SHED_SHARE;
     return sheds || this.#inFlight >= this.#opts.slots ? "no free slot" : undefined;
   }
 
@@ -320,7 +320,7 @@
     if (responseLost) {
       return;
     }
-    if (this.#mode === FaultMode.AnswerLost) {
+    if (this.#mode === FaultMode.ResponseLost) {
       res.destroy();
       return;
     }
--- a/test/delayedRequest.test.ts
+++ b/test/delayedRequest.test.ts
@@ -35,7 +35,7 @@
   const clock = new FakeClock();
   const grants = new GrantIds("incarnation-1");
   const gate = new Gate({
-    target: () => ({ slots: 2, takesWork: true }),
+    target: () => ({ slots: 2, acceptsRequests: true }),
     detector: AlwaysHealthyDetector,
     clock,
     grants,
@@ -44,7 +44,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs: new RunTable(clock),
-    here: new ActiveRuns(clock),
+    activeRuns: new ActiveRuns(clock),
     target: () => makeTarget(TARGET),
     send: async () => {
       counts.runs += 1;
@@ -64,7 +64,7 @@
       counts.slotRequests += 1;
       let ticket: ReturnType<Gate["requestSlot"]> | undefined;
       const answer = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
-      return { answer, giveUp: () => ticket?.withdraw() };
+      return { result: answer, cancel: () => ticket?.withdraw() };
     },
   });
   const dispatcher = new Dispatcher({
--- a/test/explain.test.ts
+++ b/test/explain.test.ts
@@ -48,7 +48,7 @@
   {
     // The target runs the booking and resets the connection without a response: the outcome is unknown.
     name: "ended as may-have-run",
-    injectFault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.AnswerLost),
+    injectFault: (fleet) => standIn.setFault(fleet, "vans-0", FaultMode.ResponseLost),
     status: 502,
     cause: /may have run at vans-0: .*ended as no-answer/,
   },
--- a/test/once.test.ts
+++ b/test/once.test.ts
@@ -166,7 +166,7 @@
   // run the booking a second time.
   await withFleet(fleetOf(vans(2)), async (fleet) => {
     for (const id of ["vans-0", "vans-1"]) {
-      await standIn.setFault(fleet, id, FaultMode.AnswerLost);
+      await standIn.setFault(fleet, id, FaultMode.ResponseLost);
     }
     t.is((await book(fleet, "door-0", "lost")).verdict, "may-have-run");
     for (const id of ["vans-0", "vans-1"]) {
--- a/test/slowLink.test.ts
+++ b/test/slowLink.test.ts
@@ -85,7 +85,7 @@
     links,
     follower,
     publish: (version: number, bytes = 0) => {
-      history.take({ kind: "whole", version, document: documentOf(bytes) });
+      history.apply({ kind: "whole", version, document: documentOf(bytes) });
       listeners.forEach((listener) => {
         listener();
       });
