--- a/experiment/SimFleet.ts
+++ b/experiment/SimFleet.ts
@@ -326,11 +326,8 @@
   }
 
   /** Runs a request at the target of `vm`, with the nested calls of its kind. */
-  async #runAtTarget(
-    vm: SimVm,
-    { metadata: words, deadlineAt }: TargetRequest,
-  ): Promise<ForwardResult> {
-    const { attempt } = words;
+  async #runAtTarget(vm: SimVm, { metadata, deadlineAt }: TargetRequest): Promise<ForwardResult> {
+    const { attempt } = metadata;
     const kind = this.#kinds.get(attempt.split("/")[0] ?? "");
     const target = this.#targets.get(vm.name);
     if (!kind || !target) {
--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -48,7 +48,7 @@
     this.slotRequests += 1;
     let cancelled = false;
     let withdraw: () => void = () => undefined;
-    const answer = new Promise<SlotReply>((resolve) => {
+    const result = new Promise<SlotReply>((resolve) => {
       this.#deliver(address, ({ gate }, reply) => {
         if (cancelled) {
           return;
@@ -70,7 +70,7 @@
       });
     });
     return {
-      result: answer,
+      result,
       cancel: () => {
         cancelled = true;
         this.#deliver(address, () => {
@@ -95,8 +95,8 @@
     });
   }
 
-  run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult> {
-    const answer = new Promise<ForwardResult>((resolve, reject) => {
+  run(address: string, req: HopRequest, onHeartbeat: () => void): PendingCall<ForwardResult> {
+    const result = new Promise<ForwardResult>((resolve, reject) => {
       const onUnreachable = () => {
         reject(new Error("ECONNREFUSED"));
       };
@@ -104,34 +104,34 @@
         address,
         ({ runner }, reply) => {
           const run = runner.run(req, () => this.#targetRequest(req));
-          this.#replyWithResult(run, reply, onAlive, resolve);
+          this.#replyWithResult(run, reply, onHeartbeat, resolve);
         },
         onUnreachable,
       );
     });
-    return { result: answer, cancel: () => undefined };
+    return { result, cancel: () => undefined };
   }
 
-  reattach(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
-    const answer = new Promise<ForwardResult>((resolve) => {
+  reattach(address: string, grant: GrantRef, onHeartbeat: () => void): PendingCall<ForwardResult> {
+    const result = new Promise<ForwardResult>((resolve) => {
       this.#deliver(address, ({ runner }, reply) => {
-        this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onAlive, resolve);
+        this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onHeartbeat, resolve);
       });
     });
-    return { result: answer, cancel: () => undefined };
+    return { result, cancel: () => undefined };
   }
 
   /** Replies with the result of a run when it ends; until then, signals that the run is in progress. */
   #replyWithResult(
     run: Promise<ForwardResult>,
     reply: (callback: () => void) => void,
-    onAlive: () => void,
+    onHeartbeat: () => void,
     resolve: (result: ForwardResult) => void,
   ): void {
     let ended = false;
     const signal = () => {
       if (!ended) {
-        reply(onAlive);
+        reply(onHeartbeat);
         this.#deps.clock.after(KEEPALIVE_MS, signal);
       }
     };
--- a/experiment/SimSidecar.ts
+++ b/experiment/SimSidecar.ts
@@ -181,7 +181,7 @@
   }
 
   #createGate(runs: ActiveRuns): Gate {
-    const { vm, clock, onHealthChange: onJudged, variant } = this.#deps;
+    const { vm, clock, onHealthChange, variant } = this.#deps;
     const rule = Service.parse({ name: "svc", detection: GRAY_DETECTION }).detection;
     return new Gate({
       target: () => ({ slots: vm.slots, acceptsRequests: true }),
@@ -189,18 +189,18 @@
       mayAwaitNestedCall: (since) => runs.hasOpenNestedCall(since),
       clock,
       grants: this.#grants,
-      onHealthChange: onJudged,
+      onHealthChange,
       ...variant.gate,
     });
   }
 
-  #createRunner(here: ActiveRuns): TargetRunner {
+  #createRunner(activeRuns: ActiveRuns): TargetRunner {
     const { vm, clock, runAtTarget } = this.#deps;
     const id = TargetId(vm.name);
     return new TargetRunner({
       gates: { get: () => this.gate },
       runs: new RunTable(clock),
-      activeRuns: here,
+      activeRuns,
       target: () => this.#table.target(id),
       send: (_target, req) => runAtTarget(req),
       grants: this.#grants,
--- a/src/common/document/DocumentHistory.ts
+++ b/src/common/document/DocumentHistory.ts
@@ -4,8 +4,8 @@
 import type { OperatorDocument } from "./OperatorDocument.ts";
 
 /**
- * Number of edits kept for peers that lag behind: the last ten minutes' at 31,000
- * changes a day, the load expected in two years. A peer that is further behind is
+ * Number of edits kept for peers that lag behind: the last ten minutes' at the 31,000
+ * changes a day of the size planned for in two years. A peer that is further behind is
  * sent the whole document.
  */
 const MAX_KEPT_EDITS = 256;
--- a/src/common/document/validateDocument.ts
+++ b/src/common/document/validateDocument.ts
@@ -14,9 +14,9 @@
 /** Validates a parsed document from any source: each field against the schema, and the rules across fields. */
 export function validateDocument(raw: unknown): Validated {
   const checked = OperatorDocument.safeParse(raw);
-  const across = typeof raw === "object" && raw !== null ? checkCrossFieldRules(raw) : [];
-  if (checked.success && across.length === 0) {
+  const violations = typeof raw === "object" && raw !== null ? checkCrossFieldRules(raw) : [];
+  if (checked.success && violations.length === 0) {
     return { ok: true, doc: checked.data };
   }
-  return { ok: false, issues: checked.success ? [] : checked.error.issues, violations: across };
+  return { ok: false, issues: checked.success ? [] : checked.error.issues, violations };
 }
--- a/src/common/rpc/splitVersion.ts
+++ b/src/common/rpc/splitVersion.ts
@@ -7,7 +7,7 @@
 
 /**
  * Splits a document version into parts that are sent as separate messages, so that the receiver sees progress while a
- * long version is being transferred. {@link VersionParts} joins them.
+ * long version is being transferred. {@link VersionJoiner} joins them.
  */
 export function splitVersion(whole: ConfigVersion): ConfigVersion[] {
   const field = whole.document === "" ? "edit" : "document";
--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -7,7 +7,10 @@
 import type { MembershipPeers } from "./MembershipPeers.ts";
 import type { PeerClients } from "./PeerClients.ts";
 
-/** Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the two-year size. */
+/**
+ * Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the size planned for in two
+ * years.
+ */
 const SYNC_TIMEOUT_MS = 2000;
 
 /**
--- a/src/sidecar/SidecarRole.ts
+++ b/src/sidecar/SidecarRole.ts
@@ -135,14 +135,14 @@
   async start(): Promise<void> {
     const cfg = this.#cfg;
     const metrics = new SidecarMetrics();
-    const noteBytes: MessageSizeListener = (method, bytes) => {
+    const onMessageSize: MessageSizeListener = (method, bytes) => {
       metrics.countControlBytes(TRAFFIC_KINDS[method] ?? "other", bytes);
     };
     const tracing = await openTracing("burdockpass-sidecar", cfg.traceFile);
     const table = this.#createTable();
     const caller: { server?: CallerServer } = {};
     const documentWait = new DocumentWait(SystemClock);
-    const configFollower = this.#createConfigFollower(table, noteBytes, () => {
+    const configFollower = this.#createConfigFollower(table, onMessageSize, () => {
       const { document } = configFollower;
       if (document) {
         caller.server?.applyLimits(document.limits);
@@ -150,10 +150,10 @@
       }
     });
     const { service } = loadProto().Peer as grpc.ServiceClientConstructor;
-    const peerService = meterService(service, noteBytes);
+    const peerService = meterService(service, onMessageSize);
     const clients = this.register(new PeerClients(peerService));
-    const link = this.register(new DatagramLink(SystemClock, noteBytes));
-    const tell: DatagramLink["sendGateMessage"] = (address, message) => {
+    const link = this.register(new DatagramLink(SystemClock, onMessageSize));
+    const sendGateMessage: DatagramLink["sendGateMessage"] = (address, message) => {
       link.sendGateMessage(address, message);
     };
     const peers = new NetworkPeers(clients, link);
@@ -179,15 +179,15 @@
         dialect: this.#dialect,
         tracing,
         metrics,
-        sendGateMessage: tell,
+        sendGateMessage,
         clock: SystemClock,
         log: this.#log,
       }),
     );
     const policy = this.register(this.#createPolicy(table));
-    const slotClient = new SlotClient({ sendGateMessage: tell, clock: SystemClock });
+    const slotClient = new SlotClient({ sendGateMessage, clock: SystemClock });
     const budgets = this.#createRetryBudgets(table, metrics);
-    const retryTokenClient = new RetryTokenClient({ sendGateMessage: tell, clock: SystemClock });
+    const retryTokenClient = new RetryTokenClient({ sendGateMessage, clock: SystemClock });
     const borrower = new RetryTokenBorrower({
       lenders: () => chooseLenders(table),
       requestToken: (...args) => retryTokenClient.requestToken(...args),
@@ -198,9 +198,9 @@
       slotClient,
       gates,
       policy,
-      retryTokenClient: retryTokenClient,
+      retryTokenClient,
       budgets,
-      sendGateMessage: tell,
+      sendGateMessage,
     });
     metrics.watchConfig(
       () => configFollower,
@@ -227,11 +227,11 @@
     configFollower.start();
 
     const hop = this.register(new HopClient(slotClient));
-    const calls = new TrafficClassifier({ runs: targetSide.runs, log: this.#log });
+    const classifier = new TrafficClassifier({ runs: targetSide.runs, log: this.#log });
     const dispatcher = this.#createDispatcher({
       policy,
       hop,
-      classifier: calls,
+      classifier,
       metrics,
       budgets,
       borrower,
@@ -317,7 +317,7 @@
 
   #createConfigFollower(
     table: TargetTable,
-    note: MessageSizeListener,
+    onMessageSize: MessageSizeListener,
     onChange: () => void,
   ): ConfigFollower {
     const { control, dataDir, id } = this.#cfg;
@@ -329,7 +329,7 @@
         clock: SystemClock,
         random: Math.random,
         log: this.#log,
-        onMessageSize: note,
+        onMessageSize,
         onChange,
       }),
     );
--- a/src/sidecar/TargetSide.ts
+++ b/src/sidecar/TargetSide.ts
@@ -86,7 +86,7 @@
   constructor(deps: TargetSideDeps) {
     super();
     this.#deps = deps;
-    const { table, clock, log, dialect, cfg, tracing, metrics, sendGateMessage: tell } = deps;
+    const { table, clock, log, dialect, cfg, tracing, metrics, sendGateMessage } = deps;
     const grants = new GrantIds(randomBytes(BOOT_ID_BYTES).toString("hex"));
     this.runs = new ActiveRuns(clock);
     this.#gates = new TargetGates({
@@ -130,7 +130,7 @@
     this.slotServer = new SlotServer({
       gates: this.#gates,
       metrics,
-      sendGateMessage: tell,
+      sendGateMessage,
       clock,
       log,
     });
--- a/src/sidecar/config/ConfigFollower.ts
+++ b/src/sidecar/config/ConfigFollower.ts
@@ -108,11 +108,11 @@
   }
 
   #createWatch(): WatchSupervisor {
-    const { sidecarId, onMessageSize: note, clock, log } = this.#deps;
+    const { sidecarId, onMessageSize, clock, log } = this.#deps;
     return new WatchSupervisor({
       choose: (avoid) => this.#chooseReplica(avoid),
       open: (address, events) =>
-        new ControlWatch({ sidecarId, onMessageSize: note, ...events }, address, this.version),
+        new ControlWatch({ sidecarId, onMessageSize, ...events }, address, this.version),
       apply: (update) => this.offer(update),
       clock,
       log,
--- a/src/sidecar/config/DocumentWait.ts
+++ b/src/sidecar/config/DocumentWait.ts
@@ -21,7 +21,7 @@
  * Holds requests that reach a sidecar which has just started and has no document yet.
  * After all processes were killed, sidecars are back some hundred milliseconds before
  * control has a leader. Requests that arrived in between used to be refused, 106 to 154 of
- * some 5,000 a played day, though they could have been served within their objective.
+ * some 5,000 a simulated day, though they could have been served within their objective.
  */
 export class DocumentWait {
   readonly #clock: Clock;
--- a/src/sidecar/detection/GrayFailureDetector.test.ts
+++ b/src/sidecar/detection/GrayFailureDetector.test.ts
@@ -5,7 +5,7 @@
 import { AttemptOutcome } from "./AttemptOutcome.ts";
 import { GrayFailureDetector } from "./GrayFailureDetector.ts";
 
-const { Ok, Failed, NoResponse: NoAnswer, TimedOut, Shed } = AttemptOutcome;
+const { Ok, Failed, NoResponse, TimedOut, Shed } = AttemptOutcome;
 
 /** Time without evidence after which an ejected target is tried again, ms. */
 const EJECT_MS = 5000;
@@ -37,7 +37,12 @@
   },
   {
     name: "two failures in quick succession eject the target",
-    steps: [{ wait: 500 }, { outcome: Failed, ms: 2 }, { wait: 100 }, { outcome: NoAnswer, ms: 2 }],
+    steps: [
+      { wait: 500 },
+      { outcome: Failed, ms: 2 },
+      { wait: 100 },
+      { outcome: NoResponse, ms: 2 },
+    ],
     state: "ejected",
   },
   {
--- a/src/sidecar/gate/Gate.test.ts
+++ b/src/sidecar/gate/Gate.test.ts
@@ -135,14 +135,14 @@
     expected: "leaving",
   },
   {
-    what: "is expendable and may be cut short",
+    what: "is retryable and may be cut short",
     untilExitMs: 2000,
     typicalMs: 500,
     isRetryable: true,
     expected: "granted",
   },
   {
-    what: "is expendable and will be cut short",
+    what: "is retryable and will be cut short",
     untilExitMs: 1000,
     typicalMs: 500,
     isRetryable: true,
--- a/src/sidecar/gate/TargetGates.test.ts
+++ b/src/sidecar/gate/TargetGates.test.ts
@@ -45,9 +45,9 @@
     runs: new RunTable(clock),
     activeRuns: new ActiveRuns(clock),
     target: () => targets[0],
-    send: (_target, { targetRestarted: lost }) =>
+    send: (_target, { targetRestarted }) =>
       new Promise<ForwardResult>((resolve) => {
-        lost?.addEventListener("abort", () => {
+        targetRestarted?.addEventListener("abort", () => {
           resolve({
             verdict: {
               kind: "may-have-run",
--- a/src/sidecar/gate/TargetGates.ts
+++ b/src/sidecar/gate/TargetGates.ts
@@ -107,14 +107,7 @@
   }
 
   #createGate(target: TargetInfo): Gate {
-    const {
-      clock,
-      grants,
-      detectorOf,
-      targets,
-      log,
-      mayAwaitNestedCall: waitsForCall,
-    } = this.#deps;
+    const { clock, grants, detectorOf, targets, log, mayAwaitNestedCall } = this.#deps;
     const { id, born } = target;
     const gate = new Gate({
       target: () => {
@@ -122,7 +115,7 @@
         return now && { slots: now.slots, acceptsRequests: now.state === TargetState.Ready };
       },
       detector: detectorOf(target),
-      mayAwaitNestedCall: waitsForCall,
+      mayAwaitNestedCall,
       onHealthChange: (load) => {
         this.#deps.onHealthChange?.(id, load);
       },
--- a/src/sidecar/gate/TargetRunner.test.ts
+++ b/src/sidecar/gate/TargetRunner.test.ts
@@ -27,7 +27,7 @@
 
 function rig() {
   const clock = new FakeClock();
-  const here = new ActiveRuns(clock);
+  const activeRuns = new ActiveRuns(clock);
   const reported: AttemptOutcome[] = [];
   const grants = new GrantIds(BOOT);
   const gate = new Gate({
@@ -42,7 +42,7 @@
   const runner = new TargetRunner({
     gates: { get: () => gate },
     runs,
-    activeRuns: here,
+    activeRuns,
     target: () => makeTarget(target),
     send: () => {
       sends += 1;
@@ -68,7 +68,7 @@
     runner,
     run,
     requestGrant,
-    here,
+    activeRuns,
     reported,
     sends: () => sends,
     end: (result: ForwardResult) => {
@@ -193,9 +193,9 @@
   test(`target runner: a run that fails ${name}`, async (t) => {
     // Sign-offs make nested calls to the reports service and fail when it fails. Counted against the targets that ran
     // the sign-offs, these failures got healthy targets ejected across the fleet.
-    const { run, requestGrant, end, here, reported } = rig();
+    const { run, requestGrant, end, activeRuns, reported } = rig();
     const running = run(requestGrant());
-    here.beginCall({ route: "index", service: "reports", weight: 1 })(callIsServed);
+    activeRuns.beginCall({ route: "index", service: "reports", weight: 1 })(callIsServed);
     end(results.failed);
     const out = await running;
     t.is(out.outcome, AttemptOutcome.Failed, "the sender gets the failure");
--- a/src/sidecar/gate/runAllowanceMs.ts
+++ b/src/sidecar/gate/runAllowanceMs.ts
@@ -2,7 +2,7 @@
 const ALLOWANCE_FACTOR = 5.5;
 
 /** The same for a request that can be retried at another target if its run is cut short. */
-const EXPENDABLE_ALLOWANCE_FACTOR = 3;
+const RETRYABLE_ALLOWANCE_FACTOR = 3;
 
 /**
  * Time to reserve for a run ahead of an event that would cut it short, ms.
@@ -11,5 +11,5 @@
  * @param isRetryable whether another attempt is possible if this one is cut short
  */
 export function runAllowanceMs(typicalMs: number, isRetryable: boolean): number {
-  return typicalMs * (isRetryable ? EXPENDABLE_ALLOWANCE_FACTOR : ALLOWANCE_FACTOR);
+  return typicalMs * (isRetryable ? RETRYABLE_ALLOWANCE_FACTOR : ALLOWANCE_FACTOR);
 }
--- a/src/sidecar/hop/GateMessageDispatcher.ts
+++ b/src/sidecar/hop/GateMessageDispatcher.ts
@@ -36,20 +36,13 @@
 
   /** Passes a message to its receiver; a request for retry tokens is replied to directly. */
   dispatch(message: GateMessage, from: string): void {
-    const {
-      slotClient,
-      gates,
-      policy,
-      retryTokenClient: tokenClient,
-      budgets,
-      sendGateMessage: tell,
-    } = this.#deps;
+    const { slotClient, gates, policy, retryTokenClient, budgets, sendGateMessage } = this.#deps;
     const update = gateCodec.readLoadUpdate(message);
     const costs = gateCodec.readRetryTokenRequest(message);
     if (costs) {
-      tell(from, gateCodec.retryTokenReply(message.ask_id, budgets.lend(costs)));
+      sendGateMessage(from, gateCodec.retryTokenReply(message.ask_id, budgets.lend(costs)));
     } else if (message.loan) {
-      tokenClient.receive(message);
+      retryTokenClient.receive(message);
     } else if (update) {
       policy.recordLoad(update.target, update.load);
     } else if (message.ask || message.withdrawn) {
--- a/src/sidecar/hop/HopClient.ts
+++ b/src/sidecar/hop/HopClient.ts
@@ -20,7 +20,7 @@
 const IDLE_TIMEOUT_MS = 20_000;
 
 /** Called when the other sidecar signals (by status 102) that it is still processing the request. */
-type OnAlive = () => void;
+type OnHeartbeat = () => void;
 
 /** Client for the sidecars of targets: requests slots by datagrams and forwards requests by HTTP. */
 export class HopClient implements HopLink, IDisposable {
@@ -37,8 +37,8 @@
   }
 
   /** Sends a request for which a slot was granted; see {@link HopLink.run}. */
-  run(address: string, req: HopRequest, onAlive: OnAlive): PendingCall<ForwardResult> {
-    return this.#call(onAlive, async (signal, onInfo) => {
+  run(address: string, req: HopRequest, onHeartbeat: OnHeartbeat): PendingCall<ForwardResult> {
+    return this.#call(onHeartbeat, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: req.method,
         path: req.path,
@@ -53,9 +53,9 @@
   }
 
   /** Reattaches to a run whose connection was lost; see {@link HopLink.reattach}. */
-  reattach(address: string, grant: GrantRef, onAlive: OnAlive): PendingCall<ForwardResult> {
+  reattach(address: string, grant: GrantRef, onHeartbeat: OnHeartbeat): PendingCall<ForwardResult> {
     this.retirePool(address);
-    return this.#call(onAlive, async (signal, onInfo) => {
+    return this.#call(onHeartbeat, async (signal, onInfo) => {
       const res = await this.#pool(address).request({
         method: "POST",
         path: HOP.reattachPath,
@@ -86,17 +86,17 @@
   }
 
   #call<T>(
-    onAlive: OnAlive,
+    onHeartbeat: OnHeartbeat,
     send: (signal: AbortSignal, onInfo: () => void) => Promise<T>,
   ): PendingCall<T> {
     const controller = new AbortController();
-    const answer = send(controller.signal, onAlive).catch((err: unknown) => {
+    const result = send(controller.signal, onHeartbeat).catch((err: unknown) => {
       throw isConnectError(err) ? new NotSentError(err) : err;
     });
     // A cancelled call may have no handler left for the rejection.
-    answer.catch(() => undefined);
+    result.catch(() => undefined);
     return {
-      result: answer,
+      result,
       cancel: () => {
         controller.abort();
       },
--- a/src/sidecar/hop/HopLink.ts
+++ b/src/sidecar/hop/HopLink.ts
@@ -18,10 +18,10 @@
    */
   requestSlot(address: string, request: SlotRequest, onQueued: OnQueued): PendingCall<SlotReply>;
   /**
-   * Sends a request for which a slot was granted to a target's hop address. `onAlive` is called when the other sidecar
-   * signals (by status 102) that it is still processing the request.
+   * Sends a request for which a slot was granted to a target's hop address. `onHeartbeat` is called when the other
+   * sidecar signals (by status 102) that it is still processing the request.
    */
-  run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult>;
+  run(address: string, req: HopRequest, onHeartbeat: () => void): PendingCall<ForwardResult>;
   /** Reattaches to a run whose connection was lost: asks for its result over a new connection. */
-  reattach(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult>;
+  reattach(address: string, grant: GrantRef, onHeartbeat: () => void): PendingCall<ForwardResult>;
 }
--- a/src/sidecar/hop/SlotClient.ts
+++ b/src/sidecar/hop/SlotClient.ts
@@ -59,12 +59,12 @@
     const id = this.#nextId;
     this.#nextId = (this.#nextId % 0xffff_ffff) + 1;
     const message = gateCodec.slotRequest(id, request);
-    const answer = new Promise<SlotReply>((settle) => {
+    const result = new Promise<SlotReply>((settle) => {
       this.#pending.set(id, { onQueued, settle, timer: undefined });
     });
     this.#send(id, address, message, 1);
     return {
-      result: answer,
+      result,
       cancel: () => {
         if (this.#remove(id)) {
           this.#deps.sendGateMessage(address, gateCodec.withdrawn(id));
--- a/src/sidecar/hop/gateCodec.ts
+++ b/src/sidecar/hop/gateCodec.ts
@@ -90,20 +90,20 @@
     request?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
 
   /** Undefined if the message is not a valid slot request. */
-  readSlotRequest: ({ ask }: GateMessage): SlotRequest | undefined =>
-    ask && ask.attempt !== "" && ask.target !== "" && ask.remaining > 0
+  readSlotRequest: ({ ask: request }: GateMessage): SlotRequest | undefined =>
+    request && request.attempt !== "" && request.target !== "" && request.remaining > 0
       ? {
-          attempt: AttemptId(ask.attempt),
-          target: TargetId(ask.target),
-          isRetryable: ask.expendable,
-          isNestedCall: ask.call,
-          isCongested: ask.pressed,
-          priority: ask.priority,
-          remainingMs: ask.remaining,
-          objectiveMs: ask.objective,
-          typicalMs: ask.typical,
-          bodyBytes: ask.body,
-          acceptsRisk: Math.min(1, ask.accepts_risk / 1000),
+          attempt: AttemptId(request.attempt),
+          target: TargetId(request.target),
+          isRetryable: request.expendable,
+          isNestedCall: request.call,
+          isCongested: request.pressed,
+          priority: request.priority,
+          remainingMs: request.remaining,
+          objectiveMs: request.objective,
+          typicalMs: request.typical,
+          bodyBytes: request.body,
+          acceptsRisk: Math.min(1, request.accepts_risk / 1000),
         }
       : undefined,
 
@@ -145,19 +145,19 @@
   };
 }
 
-function decodeLoad(wire: ProtoTypes["GateLoad"]): GateLoad {
-  const { slots, busy, queued, suspect, ejected } = wire;
+function decodeLoad(encoded: ProtoTypes["GateLoad"]): GateLoad {
+  const { slots, busy, queued, suspect, ejected } = encoded;
   return {
     slots,
     busy,
     queued,
-    serviceMs: wire.service,
-    pace: wire.pace / 100,
-    risk: Math.min(1, wire.risk / 1000),
+    serviceMs: encoded.service,
+    pace: encoded.pace / 100,
+    risk: Math.min(1, encoded.risk / 1000),
     suspect,
     ejected,
-    probeInMs: decodeOptionalMs(wire.probe_in),
-    endsInMs: decodeOptionalMs(wire.ends_in),
+    probeInMs: decodeOptionalMs(encoded.probe_in),
+    endsInMs: decodeOptionalMs(encoded.ends_in),
   };
 }
 
@@ -166,6 +166,6 @@
   return ms === undefined ? 0 : Math.max(0, Math.round(ms)) + 1;
 }
 
-function decodeOptionalMs(wire: number): number | undefined {
-  return wire > 0 ? wire - 1 : undefined;
+function decodeOptionalMs(encoded: number): number | undefined {
+  return encoded > 0 ? encoded - 1 : undefined;
 }
--- a/src/sidecar/records/chooseRecordGroup.ts
+++ b/src/sidecar/records/chooseRecordGroup.ts
@@ -56,7 +56,7 @@
 /** Hashes of member ids, so that ranking thousands of members per request needs no SHA-256 for each. */
 const idHashes = new Map<string, number>();
 
-/** Maximum number of cached ids before the cache is cleared: several fleets of the two-year size. */
+/** Maximum number of cached ids before the cache is cleared: several fleets of the size planned for in two years. */
 const MAX_ID_HASHES = 50_000;
 
 function idHash(id: string): number {
--- a/src/sidecar/routing/Dispatcher.test.ts
+++ b/src/sidecar/routing/Dispatcher.test.ts
@@ -50,7 +50,7 @@
   return { clock, hop, policy, runs, dispatcher };
 }
 
-const { done, failed, shed, expired, mayHaveRun: inDoubt } = results;
+const { done, failed, shed, expired, mayHaveRun } = results;
 
 const cases: readonly {
   name: string;
@@ -69,7 +69,7 @@
   {
     name: "lookup is retried after may-have-run",
     idempotent: true,
-    sendResults: [inDoubt, done],
+    sendResults: [mayHaveRun, done],
     sends: 2,
     verdict: "done",
   },
@@ -119,7 +119,7 @@
   {
     name: "lookup with an unknown outcome at one target that the others refused is not reported as not-run",
     idempotent: true,
-    sendResults: [inDoubt, shed, shed],
+    sendResults: [mayHaveRun, shed, shed],
     sends: 3,
     verdict: "may-have-run",
   },
@@ -127,7 +127,7 @@
   {
     name: "booking is never repeated after may-have-run",
     idempotent: false,
-    sendResults: [inDoubt, done],
+    sendResults: [mayHaveRun, done],
     sends: 1,
     verdict: "may-have-run",
   },
--- a/src/sidecar/routing/Dispatcher.ts
+++ b/src/sidecar/routing/Dispatcher.ts
@@ -113,8 +113,8 @@
 
   /** Forwards `req` along `route`; always resolves with a verdict. */
   async dispatch(route: RouteMatch, req: CallerRequest): Promise<ForwardResult> {
-    const { classifier: calls, budgets } = this.#deps;
-    const classified = calls?.begin(route, req.origin);
+    const { classifier, budgets } = this.#deps;
+    const classified = classifier?.begin(route, req.origin);
     const isNestedCall = classified?.isNestedCall ?? false;
     if (classified?.isFromCaller ?? true) {
       budgets.onFirstTry(route);
@@ -179,10 +179,12 @@
    * Whether to retry a search that found no target: one may announce itself soon, and the caller is still
    * connected.
    */
-  #mayAwaitTarget({ startedAt, deadlineAt, disconnected: left }: CallerRequest): boolean {
+  #mayAwaitTarget({ startedAt, deadlineAt, disconnected }: CallerRequest): boolean {
     const { clock, isStarting } = this.#deps;
     const holdUntil = Math.min(startedAt + STARTUP_HOLD_MS, deadlineAt);
-    return isStarting?.() === true && clock.now() < holdUntil && !left.aborted && !this.#closed;
+    return (
+      isStarting?.() === true && clock.now() < holdUntil && !disconnected.aborted && !this.#closed
+    );
   }
 
   /** Whether to retry the search for a nested call that was refused: it can still be served before its deadline. */
@@ -235,7 +237,7 @@
 
   /** Schedules a second run for when the first is stuck; its result stays pending while it hasn't started. */
   #scheduleHedge(state: DispatchState) {
-    const { clock, policy, log, onExtraRun: onExtraTry } = this.#deps;
+    const { clock, policy, log, onExtraRun } = this.#deps;
     let run: RemoteRun | undefined;
     let finder: SlotFinder | undefined;
     let settle: (result: ForwardResult | undefined) => void = () => undefined;
@@ -259,7 +261,7 @@
       finder = this.#findSlot(state);
       void finder.result.then((search) => {
         if (search.kind === "granted") {
-          onExtraTry?.(state.route.service.name, "hedge");
+          onExtraRun?.(state.route.service.name, "hedge");
           log.info({ attempt: state.req.attempt, target: search.grant.target.id }, "hedging");
           hedge.started = true;
           run = this.#startRun(state, search.grant);
--- a/src/sidecar/routing/RemoteRun.ts
+++ b/src/sidecar/routing/RemoteRun.ts
@@ -64,7 +64,7 @@
     this.result = new Promise((resolve) => (settle = resolve));
     this.#settle = settle;
     this.#deadlineTimer = deps.clock.after(req.deadlineAt - deps.clock.now(), () => {
-      this.#finish(this.#inDoubt("no answer in time", true, AttemptOutcome.TimedOut));
+      this.#finish(this.#mayHaveRun("no answer in time", true, AttemptOutcome.TimedOut));
     });
     req.disconnected.addEventListener("abort", this.#onCallerAbort);
     this.#track(deps.hop.run(grant.target.hopAddress, this.#hopRequest(), this.#onHeartbeat), true);
@@ -73,11 +73,11 @@
 
   /** Stops waiting for the result; an idempotent run is cancelled at the target. */
   cancel(): void {
-    this.#finish(this.#inDoubt("given up", false, AttemptOutcome.Cancelled));
+    this.#finish(this.#mayHaveRun("given up", false, AttemptOutcome.Cancelled));
   }
 
   readonly #onCallerAbort = (): void => {
-    this.#finish(this.#inDoubt("the caller has left", false, AttemptOutcome.Cancelled));
+    this.#finish(this.#mayHaveRun("the caller has left", false, AttemptOutcome.Cancelled));
   };
 
   readonly #onHeartbeat = (): void => {
@@ -153,7 +153,7 @@
     );
     this.#deps.onContactLost();
     if (this.#route.idempotent) {
-      this.#finish(this.#inDoubt(reason, false));
+      this.#finish(this.#mayHaveRun(reason, false));
     } else {
       this.#reattach();
     }
@@ -175,7 +175,11 @@
     });
   }
 
-  #inDoubt(reason: string, timedOut: boolean, outcome = AttemptOutcome.NoResponse): ForwardResult {
+  #mayHaveRun(
+    reason: string,
+    timedOut: boolean,
+    outcome = AttemptOutcome.NoResponse,
+  ): ForwardResult {
     const { id } = this.#grant.target;
     const retryAfterMs = RETRY_AFTER_MS;
     return {
--- a/src/sidecar/routing/RetryTokenBorrower.ts
+++ b/src/sidecar/routing/RetryTokenBorrower.ts
@@ -28,9 +28,9 @@
 
   /** Tries to borrow retry tokens for the given costs, to be used at once; false if no sidecar lends them. */
   async borrow(costs: readonly RetryCost[]): Promise<boolean> {
-    const { lenders, requestToken: ask, random } = this.#deps;
+    const { lenders, requestToken, random } = this.#deps;
     for (const address of sampleOf(lenders(), MAX_LENDERS, random)) {
-      if (await ask(address, costs)) {
+      if (await requestToken(address, costs)) {
         return true;
       }
     }
--- a/src/sidecar/routing/SlotFinder.ts
+++ b/src/sidecar/routing/SlotFinder.ts
@@ -157,7 +157,7 @@
     this.#after(req.deadlineAt - deps.clock.now(), () => {
       this.#refuse("no slot came free in time");
     });
-    req.disconnected.addEventListener("abort", this.#onCallerLeft);
+    req.disconnected.addEventListener("abort", this.#onCallerDisconnected);
     this.#requestNext();
   }
 
@@ -166,7 +166,7 @@
     this.#refuse("this sidecar gave it up, as it is being stopped or another try was quicker");
   }
 
-  readonly #onCallerLeft = (): void => {
+  readonly #onCallerDisconnected = (): void => {
     this.#refuse("the caller has left");
   };
 
@@ -291,7 +291,10 @@
     this.#after(UNRESPONSIVE_MS, () => {
       this.#ifUnanswered(target, (open) => {
         open.unresponsive = true;
-        this.#deps.log.info({ attempt: this.#req.attempt, target: target.id }, "ask unanswered");
+        this.#deps.log.info(
+          { attempt: this.#req.attempt, target: target.id },
+          "slot request unanswered",
+        );
         this.#deps.policy.recordTimeout(target);
         this.#requestNext();
       });
@@ -386,7 +389,7 @@
       return;
     }
     this.#done = true;
-    this.#req.disconnected.removeEventListener("abort", this.#onCallerLeft);
+    this.#req.disconnected.removeEventListener("abort", this.#onCallerDisconnected);
     this.#timers.forEach((t) => {
       t.cancel();
     });
--- a/src/sidecar/routing/TrafficClassifier.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -29,11 +29,11 @@
     log,
   });
   const receive = (arrivals: number) => {
-    let isOwn = false;
+    let isFromCaller = false;
     for (let n = 0; n < arrivals; n++) {
-      isOwn = classifier.begin(route).isFromCaller;
+      isFromCaller = classifier.begin(route).isFromCaller;
     }
-    return isOwn;
+    return isFromCaller;
   };
   return { receive, weights };
 }
@@ -44,7 +44,7 @@
   /** Fraction of the route's requests that arrive while the target is idle. */
   idleArrivals: number;
   arrivals: number;
-  isOwn: boolean;
+  isFromCaller: boolean;
   /** Weight of the last request as a nested call; undefined for a caller's request. */
   weight: number | undefined;
 }[] = [
@@ -53,7 +53,7 @@
     idleShare: 0.2,
     idleArrivals: 0.2,
     arrivals: 60,
-    isOwn: true,
+    isFromCaller: true,
     weight: undefined,
   },
   {
@@ -61,7 +61,7 @@
     idleShare: 0.2,
     idleArrivals: 0,
     arrivals: 60,
-    isOwn: false,
+    isFromCaller: false,
     weight: 1,
   },
   {
@@ -69,7 +69,7 @@
     idleShare: 0.2,
     idleArrivals: 0.01,
     arrivals: 300,
-    isOwn: false,
+    isFromCaller: false,
     weight: 1,
   },
   {
@@ -77,7 +77,7 @@
     idleShare: 0.2,
     idleArrivals: 0,
     arrivals: 5,
-    isOwn: false,
+    isFromCaller: false,
     weight: 0.5,
   },
   {
@@ -85,34 +85,34 @@
     idleShare: 0,
     idleArrivals: 0,
     arrivals: 1000,
-    isOwn: false,
+    isFromCaller: false,
     weight: 0.5,
   },
 ];
 
-for (const { name, idleShare, idleArrivals, arrivals, isOwn, weight } of cases) {
+for (const { name, idleShare, idleArrivals, arrivals, isFromCaller, weight } of cases) {
   test(`traffic: ${name}`, (t) => {
     const { receive, weights } = rig(idleShare, idleArrivals);
-    t.is(receive(arrivals), isOwn);
-    t.is(isOwn ? undefined : weights.at(-1), weight);
+    t.is(receive(arrivals), isFromCaller);
+    t.is(isFromCaller ? undefined : weights.at(-1), weight);
   });
 }
 
 const origins: readonly {
   origin: RequestOrigin;
   arrivals: number;
-  isOwn: boolean;
+  isFromCaller: boolean;
   isNestedCall: boolean;
 }[] = [
-  { origin: RequestOrigin.TargetVm, arrivals: 1, isOwn: false, isNestedCall: true },
-  { origin: RequestOrigin.TargetVm, arrivals: 60, isOwn: false, isNestedCall: true },
-  { origin: RequestOrigin.Elsewhere, arrivals: 1, isOwn: true, isNestedCall: false },
-  { origin: RequestOrigin.Elsewhere, arrivals: 60, isOwn: true, isNestedCall: false },
-  { origin: RequestOrigin.Unknown, arrivals: 1, isOwn: false, isNestedCall: false },
+  { origin: RequestOrigin.TargetVm, arrivals: 1, isFromCaller: false, isNestedCall: true },
+  { origin: RequestOrigin.TargetVm, arrivals: 60, isFromCaller: false, isNestedCall: true },
+  { origin: RequestOrigin.Elsewhere, arrivals: 1, isFromCaller: true, isNestedCall: false },
+  { origin: RequestOrigin.Elsewhere, arrivals: 60, isFromCaller: true, isNestedCall: false },
+  { origin: RequestOrigin.Unknown, arrivals: 1, isFromCaller: false, isNestedCall: false },
 ];
 
-for (const { origin, arrivals, isOwn, isNestedCall } of origins) {
-  test(`traffic: busy target, request ${arrivals} from ${origin}: isOwn ${isOwn}, isCall ${isNestedCall}`, (t) => {
+for (const { origin, arrivals, isFromCaller, isNestedCall } of origins) {
+  test(`traffic: busy target, request ${arrivals} from ${origin}: isFromCaller ${isFromCaller}, isNestedCall ${isNestedCall}`, (t) => {
     // The local target is hardly ever idle. Guards against leaving callers' requests unclassified for the first minute
     // of each process: lookups were not retried then, since no request earned retry budget.
     const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
@@ -122,7 +122,7 @@
       classifier.begin(route, origin);
     }
     const classified = classifier.begin(route, origin);
-    t.is(classified.isFromCaller, isOwn);
+    t.is(classified.isFromCaller, isFromCaller);
     t.is(classified.isNestedCall, isNestedCall);
   });
 }
--- a/src/sidecar/routing/TrafficClassifier.ts
+++ b/src/sidecar/routing/TrafficClassifier.ts
@@ -78,11 +78,13 @@
     const nats = this.#updateEvidence(key, ORIGIN_PRIOR_NATS[usedOrigin]);
     const weight = callWeight(nats);
     this.#logChange(key, weight, nats);
-    const isOwn = weight === 0;
+    const isFromCaller = weight === 0;
     return {
-      isFromCaller: isOwn,
+      isFromCaller,
       isNestedCall: weight === 1,
-      end: isOwn ? () => undefined : runs.beginCall({ route, service: service.name, weight }),
+      end: isFromCaller
+        ? () => undefined
+        : runs.beginCall({ route, service: service.name, weight }),
     };
   }
 
--- a/test/delayedRequest.test.ts
+++ b/test/delayedRequest.test.ts
@@ -63,8 +63,8 @@
     requestSlot: (_address, req) => {
       counts.slotRequests += 1;
       let ticket: ReturnType<Gate["requestSlot"]> | undefined;
-      const answer = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
-      return { result: answer, cancel: () => ticket?.withdraw() };
+      const result = new Promise<SlotReply>((resolve) => (ticket = gate.requestSlot(req, resolve)));
+      return { result, cancel: () => ticket?.withdraw() };
     },
   });
   const dispatcher = new Dispatcher({
