--- a/experiment/SimHop.ts
+++ b/experiment/SimHop.ts
@@ -48,7 +48,7 @@
     this.slotRequests += 1;
     let cancelled = false;
     let withdraw: () => void = () => undefined;
-    const answer = new Promise<SlotReply>((resolve) => {
+    const result = new Promise<SlotReply>((resolve) => {
       this.#deliver(address, ({ gate }, reply) => {
         if (cancelled) {
           return;
@@ -61,7 +61,7 @@
         withdraw = () => {
           ticket.withdraw();
         };
-        if (ticket.queued) {
+        if (ticket.isQueued) {
           const { load } = gate;
           reply(() => {
             onQueued(load);
@@ -70,8 +70,8 @@
       });
     });
     return {
-      answer,
-      giveUp: () => {
+      result,
+      cancel: () => {
         cancelled = true;
         this.#deliver(address, () => {
           withdraw();
@@ -95,8 +95,8 @@
     });
   }
 
-  run(address: string, req: HopRequest, onAlive: () => void): PendingCall<ForwardResult> {
-    const answer = new Promise<ForwardResult>((resolve, reject) => {
+  run(address: string, req: HopRequest, onHeartbeat: () => void): PendingCall<ForwardResult> {
+    const result = new Promise<ForwardResult>((resolve, reject) => {
       const onUnreachable = () => {
         reject(new Error("ECONNREFUSED"));
       };
@@ -104,34 +104,34 @@
         address,
         ({ runner }, reply) => {
           const run = runner.run(req, () => this.#targetRequest(req));
-          this.#replyWithResult(run, reply, onAlive, resolve);
+          this.#replyWithResult(run, reply, onHeartbeat, resolve);
         },
         onUnreachable,
       );
     });
-    return { answer, giveUp: () => undefined };
+    return { result, cancel: () => undefined };
   }
 
-  join(address: string, grant: GrantRef, onAlive: () => void): PendingCall<ForwardResult> {
-    const answer = new Promise<ForwardResult>((resolve) => {
+  reattach(address: string, grant: GrantRef, onHeartbeat: () => void): PendingCall<ForwardResult> {
+    const result = new Promise<ForwardResult>((resolve) => {
       this.#deliver(address, ({ runner }, reply) => {
-        this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onAlive, resolve);
+        this.#replyWithResult(resultOf(runner.state(grant), grant), reply, onHeartbeat, resolve);
       });
     });
-    return { answer, giveUp: () => undefined };
+    return { result, cancel: () => undefined };
   }
 
   /** Replies with the result of a run when it ends; until then, signals that the run is in progress. */
   #replyWithResult(
     run: Promise<ForwardResult>,
     reply: (callback: () => void) => void,
-    onAlive: () => void,
+    onHeartbeat: () => void,
     resolve: (result: ForwardResult) => void,
   ): void {
     let ended = false;
     const signal = () => {
       if (!ended) {
-        reply(onAlive);
+        reply(onHeartbeat);
         this.#deps.clock.after(KEEPALIVE_MS, signal);
       }
     };
@@ -152,7 +152,7 @@
       path,
       headers,
       body,
-      words: { attempt, target, callerService, echoHeader: undefined },
+      metadata: { attempt, target, callerService, echoHeader: undefined },
       deadlineAt: this.#deps.clock.now() + req.remainingMs,
       idempotent,
     };
@@ -199,6 +199,6 @@
   const verdict = { kind: "may-have-run", target, reason, timedOut: false, retryAfterMs: 0 };
   return Promise.resolve({
     verdict,
-    outcome: AttemptOutcome.NoAnswer,
+    outcome: AttemptOutcome.NoResponse,
   } as ForwardResult);
 }
--- a/src/common/document/validateDocument.ts
+++ b/src/common/document/validateDocument.ts
@@ -8,15 +8,15 @@
   | {
       readonly ok: false;
       readonly issues: readonly z.core.$ZodIssue[];
-      readonly across: readonly Violation[];
+      readonly violations: readonly Violation[];
     };
 
 /** Validates a parsed document from any source: each field against the schema, and the rules across fields. */
 export function validateDocument(raw: unknown): Validated {
   const checked = OperatorDocument.safeParse(raw);
-  const across = typeof raw === "object" && raw !== null ? checkCrossFieldRules(raw) : [];
-  if (checked.success && across.length === 0) {
+  const violations = typeof raw === "object" && raw !== null ? checkCrossFieldRules(raw) : [];
+  if (checked.success && violations.length === 0) {
     return { ok: true, doc: checked.data };
   }
-  return { ok: false, issues: checked.success ? [] : checked.error.issues, across };
+  return { ok: false, issues: checked.success ? [] : checked.error.issues, violations };
 }
--- a/src/membership/NetworkPeers.ts
+++ b/src/membership/NetworkPeers.ts
@@ -1,13 +1,16 @@
 import type { DocumentUpdate } from "../common/document/DocumentUpdate.ts";
 import type { IDisposable } from "../common/lifecycle/IDisposable.ts";
 import { callUnary } from "../common/rpc/callUnary.ts";
-import { documentWire } from "../common/rpc/documentWire.ts";
+import { documentCodec } from "../common/rpc/documentCodec.ts";
 import type { ProtoTypes } from "../common/rpc/ProtoTypes.ts";
 import type { DatagramLink } from "./DatagramLink.ts";
 import type { MembershipPeers } from "./MembershipPeers.ts";
 import type { PeerClients } from "./PeerClients.ts";
 
-/** Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the two-year size. */
+/**
+ * Timeout for exchanging whole views, ms; longer than for gossip, since a view takes 2 MB at the size planned for in two
+ * years.
+ */
 const SYNC_TIMEOUT_MS = 2000;
 
 /**
@@ -50,7 +53,7 @@
     const reply = await this.#clients
       .get(address)
       .call((client) => callUnary(client.Config.bind(client), req, CONFIG_TIMEOUT_MS));
-    return reply.versions.map((v) => documentWire.decode(v));
+    return reply.versions.map((v) => documentCodec.decode(v));
   }
 
   dispose(): void {
--- a/src/sidecar/hop/gateWire.ts
+++ b/src/sidecar/hop/gateCodec.ts
@@ -28,16 +28,16 @@
  * Encodes and decodes gate messages: the datagrams between gates, which control admission to their targets, and the
  * sidecars that request slots, and those by which sidecars borrow retry tokens.
  */
-export const gateWire = {
-  ask: (id: number, request: SlotRequest): GateMessage => ({
+export const gateCodec = {
+  slotRequest: (id: number, request: SlotRequest): GateMessage => ({
     ...EMPTY_MESSAGE,
     ask_id: id,
     ask: {
       attempt: request.attempt,
       target: request.target,
-      expendable: request.isExpendable,
-      call: request.isCall,
-      pressed: request.isPressed,
+      expendable: request.isRetryable,
+      call: request.isNestedCall,
+      pressed: request.isCongested,
       priority: request.priority,
       remaining: Math.max(1, Math.round(request.remainingMs)),
       objective: Math.round(request.objectiveMs),
@@ -66,7 +66,7 @@
     },
   }),
 
-  news: (target: TargetId, load: GateLoad): GateMessage => ({
+  loadUpdate: (target: TargetId, load: GateLoad): GateMessage => ({
     ...EMPTY_MESSAGE,
     news: { target, load: encodeLoad(load) },
   }),
@@ -90,20 +90,20 @@
     request?.costs.map(({ service, hundredths }) => ({ service, n: hundredths / 100 })),
 
   /** Undefined if the message is not a valid slot request. */
-  readAsk: ({ ask }: GateMessage): SlotRequest | undefined =>
-    ask && ask.attempt !== "" && ask.target !== "" && ask.remaining > 0
+  readSlotRequest: ({ ask: request }: GateMessage): SlotRequest | undefined =>
+    request && request.attempt !== "" && request.target !== "" && request.remaining > 0
       ? {
-          attempt: AttemptId(ask.attempt),
-          target: TargetId(ask.target),
-          isExpendable: ask.expendable,
-          isCall: ask.call,
-          isPressed: ask.pressed,
-          priority: ask.priority,
-          remainingMs: ask.remaining,
-          objectiveMs: ask.objective,
-          typicalMs: ask.typical,
-          bodyBytes: ask.body,
-          acceptsRisk: Math.min(1, ask.accepts_risk / 1000),
+          attempt: AttemptId(request.attempt),
+          target: TargetId(request.target),
+          isRetryable: request.expendable,
+          isNestedCall: request.call,
+          isCongested: request.pressed,
+          priority: request.priority,
+          remainingMs: request.remaining,
+          objectiveMs: request.objective,
+          typicalMs: request.typical,
+          bodyBytes: request.body,
+          acceptsRisk: Math.min(1, request.accepts_risk / 1000),
         }
       : undefined,
 
@@ -125,7 +125,7 @@
   },
 
   /** Undefined if the message is not a load update. */
-  readNews: ({ news }: GateMessage): { target: TargetId; load: GateLoad } | undefined =>
+  readLoadUpdate: ({ news }: GateMessage): { target: TargetId; load: GateLoad } | undefined =>
     news?.load ? { target: TargetId(news.target), load: decodeLoad(news.load) } : undefined,
 };
 
@@ -145,19 +145,19 @@
   };
 }
 
-function decodeLoad(wire: ProtoTypes["GateLoad"]): GateLoad {
-  const { slots, busy, queued, suspect, ejected } = wire;
+function decodeLoad(encoded: ProtoTypes["GateLoad"]): GateLoad {
+  const { slots, busy, queued, suspect, ejected } = encoded;
   return {
     slots,
     busy,
     queued,
-    serviceMs: wire.service,
-    pace: wire.pace / 100,
-    risk: Math.min(1, wire.risk / 1000),
+    serviceMs: encoded.service,
+    pace: encoded.pace / 100,
+    risk: Math.min(1, encoded.risk / 1000),
     suspect,
     ejected,
-    probeInMs: decodeOptionalMs(wire.probe_in),
-    endsInMs: decodeOptionalMs(wire.ends_in),
+    probeInMs: decodeOptionalMs(encoded.probe_in),
+    endsInMs: decodeOptionalMs(encoded.ends_in),
   };
 }
 
@@ -166,6 +166,6 @@
   return ms === undefined ? 0 : Math.max(0, Math.round(ms)) + 1;
 }
 
-function decodeOptionalMs(wire: number): number | undefined {
-  return wire > 0 ? wire - 1 : undefined;
+function decodeOptionalMs(encoded: number): number | undefined {
+  return encoded > 0 ? encoded - 1 : undefined;
 }
--- a/src/sidecar/routing/TrafficClassifier.test.ts
+++ b/src/sidecar/routing/TrafficClassifier.test.ts
@@ -29,11 +29,11 @@
     log,
   });
   const receive = (arrivals: number) => {
-    let isOwn = false;
+    let isFromCaller = false;
     for (let n = 0; n < arrivals; n++) {
-      isOwn = classifier.begin(route).isOwn;
+      isFromCaller = classifier.begin(route).isFromCaller;
     }
-    return isOwn;
+    return isFromCaller;
   };
   return { receive, weights };
 }
@@ -44,7 +44,7 @@
   /** Fraction of the route's requests that arrive while the target is idle. */
   idleArrivals: number;
   arrivals: number;
-  isOwn: boolean;
+  isFromCaller: boolean;
   /** Weight of the last request as a nested call; undefined for a caller's request. */
   weight: number | undefined;
 }[] = [
@@ -53,7 +53,7 @@
     idleShare: 0.2,
     idleArrivals: 0.2,
     arrivals: 60,
-    isOwn: true,
+    isFromCaller: true,
     weight: undefined,
   },
   {
@@ -61,7 +61,7 @@
     idleShare: 0.2,
     idleArrivals: 0,
     arrivals: 60,
-    isOwn: false,
+    isFromCaller: false,
     weight: 1,
   },
   {
@@ -69,7 +69,7 @@
     idleShare: 0.2,
     idleArrivals: 0.01,
     arrivals: 300,
-    isOwn: false,
+    isFromCaller: false,
     weight: 1,
   },
   {
@@ -77,7 +77,7 @@
     idleShare: 0.2,
     idleArrivals: 0,
     arrivals: 5,
-    isOwn: false,
+    isFromCaller: false,
     weight: 0.5,
   },
   {
@@ -85,34 +85,34 @@
     idleShare: 0,
     idleArrivals: 0,
     arrivals: 1000,
-    isOwn: false,
+    isFromCaller: false,
     weight: 0.5,
   },
 ];
 
-for (const { name, idleShare, idleArrivals, arrivals, isOwn, weight } of cases) {
+for (const { name, idleShare, idleArrivals, arrivals, isFromCaller, weight } of cases) {
   test(`traffic: ${name}`, (t) => {
     const { receive, weights } = rig(idleShare, idleArrivals);
-    t.is(receive(arrivals), isOwn);
-    t.is(isOwn ? undefined : weights.at(-1), weight);
+    t.is(receive(arrivals), isFromCaller);
+    t.is(isFromCaller ? undefined : weights.at(-1), weight);
   });
 }
 
 const origins: readonly {
   origin: RequestOrigin;
   arrivals: number;
-  isOwn: boolean;
-  isCall: boolean;
+  isFromCaller: boolean;
+  isNestedCall: boolean;
 }[] = [
-  { origin: RequestOrigin.TargetVm, arrivals: 1, isOwn: false, isCall: true },
-  { origin: RequestOrigin.TargetVm, arrivals: 60, isOwn: false, isCall: true },
-  { origin: RequestOrigin.Elsewhere, arrivals: 1, isOwn: true, isCall: false },
-  { origin: RequestOrigin.Elsewhere, arrivals: 60, isOwn: true, isCall: false },
-  { origin: RequestOrigin.Unknown, arrivals: 1, isOwn: false, isCall: false },
+  { origin: RequestOrigin.TargetVm, arrivals: 1, isFromCaller: false, isNestedCall: true },
+  { origin: RequestOrigin.TargetVm, arrivals: 60, isFromCaller: false, isNestedCall: true },
+  { origin: RequestOrigin.Elsewhere, arrivals: 1, isFromCaller: true, isNestedCall: false },
+  { origin: RequestOrigin.Elsewhere, arrivals: 60, isFromCaller: true, isNestedCall: false },
+  { origin: RequestOrigin.Unknown, arrivals: 1, isFromCaller: false, isNestedCall: false },
 ];
 
-for (const { origin, arrivals, isOwn, isCall } of origins) {
-  test(`traffic: busy target, request ${arrivals} from ${origin}: isOwn ${isOwn}, isCall ${isCall}`, (t) => {
+for (const { origin, arrivals, isFromCaller, isNestedCall } of origins) {
+  test(`traffic: busy target, request ${arrivals} from ${origin}: isFromCaller ${isFromCaller}, isNestedCall ${isNestedCall}`, (t) => {
     // The local target is hardly ever idle. Guards against leaving callers' requests unclassified for the first minute
     // of each process: lookups were not retried then, since no request earned retry budget.
     const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
@@ -122,16 +122,16 @@
       classifier.begin(route, origin);
     }
     const classified = classifier.begin(route, origin);
-    t.is(classified.isOwn, isOwn);
-    t.is(classified.isCall, isCall);
+    t.is(classified.isFromCaller, isFromCaller);
+    t.is(classified.isNestedCall, isNestedCall);
   });
 }
 
 test("traffic: requests of one route are classified separately by origin", (t) => {
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
-  t.true(classifier.begin(route, RequestOrigin.Elsewhere).isOwn);
-  t.true(classifier.begin(route, RequestOrigin.TargetVm).isCall);
+  t.true(classifier.begin(route, RequestOrigin.Elsewhere).isFromCaller);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isNestedCall);
 });
 
 test("traffic: the target's address is no evidence while all requests come from it", (t) => {
@@ -140,8 +140,8 @@
   const runs = { count: 4, idleShare: 0.05, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
   const classified = classifier.begin(route, RequestOrigin.TargetVm);
-  t.false(classified.isCall);
-  t.false(classified.isOwn);
+  t.false(classified.isNestedCall);
+  t.false(classified.isFromCaller);
 });
 
 test("traffic: callers that share the target's address are recognized by requests outside runs", (t) => {
@@ -151,15 +151,15 @@
   for (let n = 0; n < 3; n++) {
     classifier.begin(route, RequestOrigin.TargetVm);
   }
-  t.true(classifier.begin(route, RequestOrigin.TargetVm).isOwn);
+  t.true(classifier.begin(route, RequestOrigin.TargetVm).isFromCaller);
 });
 
 test("traffic: each route is classified on its own", (t) => {
   const runs = { count: 0, idleShare: 0.2, beginCall: () => () => undefined };
   const classifier = new TrafficClassifier({ runs, log });
   classifier.begin(route);
-  t.true(classifier.begin(route).isOwn);
+  t.true(classifier.begin(route).isFromCaller);
   runs.count = 4;
-  t.true(classifier.begin(route).isOwn);
-  t.false(classifier.begin(makeRoute({ name: "other" })).isOwn);
+  t.true(classifier.begin(route).isFromCaller);
+  t.false(classifier.begin(makeRoute({ name: "other" })).isFromCaller);
 });
