--- a/eslint.config.js
+++ b/eslint.config.js
@@ -2,7 +2,7 @@
 import tseslint from "typescript-eslint";
 import prettier from "eslint-config-prettier";
 
-/** Folders of src/, from the lowest up: each may import from those before it only. */
+/** Folders of src/ by layer, lowest first; each may import only from the layers below its own. */
 const LAYERS = [
   ["common"],
   ["membership"],
@@ -10,7 +10,7 @@
   ["daemon", "cli"],
 ];
 
-/** What the users' platform calls things; known in platform/ alone. */
+/** Names defined by the users' platform, as a selector pattern; only platform/ may use them. */
 const PLATFORM_NAMES =
   "/^x-(attempt-id|deadline-ms|expect-instance|instance-id|caller-service|response-signature|not-executed)$|^\\u002fburdockpass\\u002f(config|instances|readyz)|^BURDOCKPASS_CONFIG$/";
 
